--- a/src/kelproad/coordination/ingress/choosing.py
+++ b/src/kelproad/coordination/ingress/choosing.py
@@ -1,4 +1,4 @@
-"""Which endpoints a call may go to at present, and the choice among them."""
+"""Selection of endpoints for a call, from all that this instance knows."""
 
 import logging
 import random
@@ -20,15 +20,16 @@
 __all__ = ['Chooser']
 
 _logger = logging.getLogger(__name__)
-#: Endpoints that are weighed for one call at the most, drawn at random where
-#: there are more: a choice must not take longer the more engines there are.
-_MOST_CANDIDATES = 96
-#: Share of its objective that a call to a plain service is assumed to take.
-_PLAIN_SHARE = 0.2
+#: Endpoints that are scored for one call at most, a random sample where there
+#: are more: the time of a choice must not grow with the number of engines.
+_MAX_CANDIDATES = 96
+#: Share of its objective that the work of a call to a plain service is assumed
+#: to take.
+_PLAIN_WORK_SHARE = 0.2
 
 
 class Chooser:
-    """Chooses endpoints by all that this instance knows."""
+    """Selector of the endpoints that calls are sent to."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         spillover: ZoneSpillover,
         generator: random.Random,
     ) -> None:
-        """Choose for an instance that stands in a zone."""
+        """Select endpoints for an instance that runs in ``zone``."""
         self._zone = zone
         self._holder = holder
         self._table = table
@@ -52,22 +53,22 @@
         self._generator = generator
 
     async def choose(self, call: Call, progress: Progress) -> Placement:
-        """Choose endpoints for a call, in its own zone if that can take it.
+        """Choose endpoints for a call, in the local zone where possible.
 
         Raises
         ------
         Unplaced
-            When none can take it now.
+            When no endpoint can accept the call now.
         """
         endpoints = self._table.in_group(call.service)
-        # Plain endpoints are few, and each instance sends there: what it knows
-        # by itself, and by its zone, is enough.
+        # Plain endpoints are few, and every instance sends calls to them: what
+        # this instance and its zone know of their load is enough.
         if self._spillover.is_needed and self._is_engine_call(call):
-            placement = self._choose_near(call, progress)
+            placement = self._choose_local(call, progress)
             if placement is not None:
                 return placement
             await self._spillover.refresh()
-            endpoints = self._leave_out_unknown(endpoints)
+            endpoints = self._exclude_unknown_zones(endpoints)
         return self.choose_among(endpoints, call, progress, monotonic())
 
     def choose_among(
@@ -76,42 +77,42 @@
         call: Call,
         progress: Progress,
         now: float,
-        sound_only: bool = False,
+        healthy_only: bool = False,
     ) -> Placement:
-        """Choose for a call among some endpoints.
+        """Choose for a call among the given endpoints.
 
         Parameters
         ----------
         endpoints
-            Those that may be weighed.
+            The endpoints to score.
         call
             The call.
         progress
-            What became of it so far: where it may not go again.
+            Its attempts so far, which exclude endpoints.
         now
             Monotonic time, in seconds.
-        sound_only
-            Whether to leave failing endpoints also where no other is left.
+        healthy_only
+            Whether to exclude unhealthy endpoints even if no other remains.
 
         Raises
         ------
         Unplaced
-            When none can take it now.
+            When no endpoint can accept the call now.
         """
-        sound, usable = self._part_sound(endpoints, call, progress, now)
-        left = sound if sound_only else sound or usable
-        most = call.route.most_endpoints
+        healthy, usable = self._filter_healthy(endpoints, call, progress, now)
+        left = healthy if healthy_only else healthy or usable
+        max_endpoints = call.route.most_endpoints
         candidates = [
             self._describe(
                 endpoint,
-                progress.may_answer(endpoint.name, most),
+                progress.may_answer(endpoint.name, max_endpoints),
                 now,
             )
-            for endpoint in self._draw(left)
+            for endpoint in self._sample(left)
         ]
         profile = self._holder.current.find_profile(call.service)
         if profile is None:
-            work_seconds = call.route.objective * _PLAIN_SHARE
+            work_seconds = call.route.objective * _PLAIN_WORK_SHARE
             return choose_plain(candidates, self._generator, work_seconds)
         need = Need(
             prompt_tokens=call.head.prompt_tokens,
@@ -124,23 +125,26 @@
         patient = profile.pauses.is_patient(call.route.gap_objective)
         return attrs.evolve(placement, patient=patient)
 
-    def _choose_near(self, call: Call, progress: Progress) -> Placement | None:
-        """Choose among the engines of the own zone, if one can take a call."""
-        near = self._table.in_zone(call.service, self._zone)
+    def _choose_local(self, call: Call, progress: Progress) -> Placement | None:
+        """Choose among the healthy engines of the local zone, if one can."""
+        local_endpoints = self._table.in_zone(call.service, self._zone)
         try:
             return self.choose_among(
-                near,
+                local_endpoints,
                 call,
                 progress,
                 monotonic(),
-                sound_only=True,
+                healthy_only=True,
             )
         except Unplaced as unplaced:
-            _logger.debug('not placed in the own zone: %s', unplaced.reason)
+            _logger.debug('not placed in the local zone: %s', unplaced.reason)
             return None
 
-    def _leave_out_unknown(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """Leave out engines of zones that did not say what they are at."""
+    def _exclude_unknown_zones(
+        self,
+        endpoints: list[Endpoint],
+    ) -> list[Endpoint]:
+        """Exclude engines of zones that did not report their work."""
         now = monotonic()
         zones = {endpoint.declaration.zone for endpoint in endpoints}
         known = {zone for zone in zones if self._spillover.knows(zone, now)}
@@ -153,55 +157,53 @@
     def _is_engine_call(self, call: Call) -> bool:
         return self._holder.current.find_profile(call.service) is not None
 
-    def _part_sound(
+    def _filter_healthy(
         self,
         endpoints: list[Endpoint],
         call: Call,
         progress: Progress,
         now: float,
     ) -> tuple[list[Endpoint], list[Endpoint]]:
-        """List the sound endpoints, and all that may be used."""
+        """Return the healthy endpoints, and all that are eligible."""
         usable = [
             endpoint
             for endpoint in endpoints
-            if _may_be_used(endpoint, now)
+            if _is_eligible(endpoint, now)
             and endpoint.name not in progress.tried
         ]
-        avoided = self._list_doubtful_zones(usable, call, now)
-        sound = [
+        excluded_zones = self._list_suspect_zones(usable, call, now)
+        healthy = [
             endpoint
             for endpoint in usable
-            if endpoint.declaration.zone not in avoided
+            if endpoint.declaration.zone not in excluded_zones
             and not self._observations.is_silent(endpoint.name, now)
-            and _is_sound(endpoint, call.kind.repeatable, now)
+            and _is_healthy(endpoint, call.kind.repeatable, now)
         ]
-        return sound, usable
+        return healthy, usable
 
-    def _draw(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """Draw some of many endpoints, those of the own zone first."""
-        if len(endpoints) <= _MOST_CANDIDATES:
+    def _sample(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+        """Sample from many endpoints, those of the local zone first."""
+        if len(endpoints) <= _MAX_CANDIDATES:
             return endpoints
         self._generator.shuffle(endpoints)
         endpoints.sort(
             key=lambda endpoint: endpoint.declaration.zone != self._zone,
         )
-        return endpoints[:_MOST_CANDIDATES]
+        return endpoints[:_MAX_CANDIDATES]
 
-    def _list_doubtful_zones(
+    def _list_suspect_zones(
         self,
         usable: list[Endpoint],
         call: Call,
         now: float,
     ) -> set[str]:
-        """List zones that are probably out of reach, but for a probe."""
+        """List zones that are probably unreachable and not due for a probe."""
         zones = {endpoint.declaration.zone for endpoint in usable}
-        doubtful = {
-            zone for zone in zones if self._reach.is_doubtful(zone, now)
-        }
+        suspect = {zone for zone in zones if self._reach.is_doubtful(zone, now)}
         if not call.kind.repeatable:
-            return doubtful
+            return suspect
         return {
-            zone for zone in doubtful if not self._reach.take_probe(zone, now)
+            zone for zone in suspect if not self._reach.take_probe(zone, now)
         }
 
     def _describe(
@@ -212,8 +214,8 @@
     ) -> Candidate:
         configuration = self._holder.current
         zone = endpoint.declaration.zone
-        # A prompt fails with any of its parts, so a zone in doubt is probed by
-        # whole prompts only.
+        # A prompt fails if any of its parts fails, so a suspect zone is probed
+        # with undivided prompts only.
         may_help = not (
             self._reach.is_doubtful(zone, now)
             or self._observations.refuses_help(endpoint.name, now)
@@ -229,17 +231,17 @@
         )
 
 
-def _may_be_used(endpoint: Endpoint, now: float) -> bool:
-    """Tell whether an endpoint may get calls at all, sound or not."""
+def _is_eligible(endpoint: Endpoint, now: float) -> bool:
+    """Return whether an endpoint may get calls at all, healthy or not."""
     return not endpoint.leaving and endpoint.disowned_until <= now
 
 
-def _is_sound(endpoint: Endpoint, repeatable: bool, now: float) -> bool:
-    """Tell whether an endpoint may be used, or probed with this call."""
+def _is_healthy(endpoint: Endpoint, repeatable: bool, now: float) -> bool:
+    """Return whether an endpoint may be used, or probed with this call."""
     if endpoint.ejected_until > now:
         return False
     if not endpoint.on_probation:
         return True
-    # One call at a time probes an endpoint that was taken out, and none that
-    # may run once only.
+    # An endpoint on probation gets one call at a time, and none that may run
+    # only once.
     return repeatable and not endpoint.own_requests
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -1,7 +1,7 @@
-"""Reading one prompt at several engines: which ones, and whose memory.
+"""Split of one prompt over several engines: their choice and their memory.
 
-The engines that read a prompt without harm are preferred, the fewest that do.
-Where none do, those are taken that the fewest streams are on.
+The fewest engines that can prefill the prompt without disrupting streams are
+preferred.  Where there are none, the engines with the fewest streams are used.
 """
 
 import heapq
@@ -22,17 +22,17 @@
 
 __all__ = ['choose_forced', 'choose_harmless', 'place_parts', 'require_memory']
 
-#: Parts of one prompt: an engine takes 16 helpers.
+#: Parts of one prompt at most: an engine accepts 16 helpers.
 MOST_PARTS = 17
-#: Share of what is left of its objective in which a prompt is to be read where
-#: it disturbs streams in any case: nearly all, as each engine more that reads
-#: pauses as many streams as it writes.
+#: Share of the rest of its objective for which a prompt may be prefilled where
+#: it disrupts streams in any case: nearly all, as every further engine stalls
+#: the streams that it decodes.
 FORCED_SHARE = 0.85
-#: Prompt tokens that weigh as much as one stream that pauses too long.
+#: Prompt tokens that justify one stream with too long a stall.
 TOKENS_PER_STREAM = 12_000
-#: Tight streams that weigh as much as one of a long prompt.
-STREAMS_PER_PATIENT_ONE = 4
-#: Tokens of memory that a reservation leaves at an engine for the short
+#: Gap-sensitive streams that count as much as one gap-tolerant one.
+STREAMS_PER_GAP_TOLERANT_ONE = 4
+#: Tokens of memory that a reservation leaves free at an engine for the short
 #: prompts that come meanwhile.
 SPARE_TOKENS = 30_000
 
@@ -43,8 +43,8 @@
     share: float,
     profile: EngineProfile,
 ) -> list[Candidate]:
-    """Choose the fewest engines that read a prompt without harm, or none."""
-    reading = profile.predict_prefill(need.prompt_tokens)
+    """Choose the fewest engines that need not disrupt streams, or none."""
+    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
     ranked = sorted(
         (
             (
@@ -56,14 +56,14 @@
         key=_rank_allowance,
     )
     for count in range(1, min(MOST_PARTS, len(ranked)) + 1):
-        least, _ = ranked[count - 1]
-        if least >= reading / count:
+        smallest, _ = ranked[count - 1]
+        if smallest >= prefill_seconds / count:
             return [candidate for _, candidate in ranked[:count]]
     return []
 
 
 def _rank_allowance(item: tuple[float, Candidate]) -> float:
-    """Rank the largest allowance first, failing engines behind."""
+    """Rank the largest allowance first, with a penalty for failures."""
     allowance, candidate = item
     return candidate.failing * FAILURE_SECONDS - allowance
 
@@ -73,50 +73,51 @@
     need: Need,
     profile: EngineProfile,
 ) -> list[Candidate]:
-    """Choose the engines that read a prompt in time and do least harm.
+    """Choose the engines that meet the objective with the least disruption.
 
-    Their streams pause in any case.  There are none where no engines would be
-    in time, or where more callers would be late than the prompt is worth.
+    Their streams stall in any case.  The list is empty where no engines would
+    meet the objective, or where more streams would stall too long than the
+    prompt justifies.
     """
-    reading = profile.predict_prefill(need.prompt_tokens)
+    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
     longest = need.left * FORCED_SHARE
-    disturbances = [
-        _Disturbance.from_candidate(candidate, profile) for candidate in helpers
+    disruptions = [
+        _Disruption.from_candidate(candidate, profile) for candidate in helpers
     ]
-    least = need.prompt_tokens / TOKENS_PER_STREAM
+    max_disrupted = need.prompt_tokens / TOKENS_PER_STREAM
     best: list[Candidate] = []
     for count in range(1, min(MOST_PARTS, len(helpers)) + 1):
-        part = reading / count
+        part = prefill_seconds / count
         chosen = heapq.nsmallest(
             count,
-            _rank_in_time(disturbances, part, longest, profile),
+            _rank_in_time(disruptions, part, longest, profile),
         )
         if len(chosen) < count:
             continue
-        disturbed = sum(streams for (streams, _), _ in chosen)
-        if disturbed <= least:
-            least = disturbed - 1
-            best = [helpers[place] for _, place in chosen]
+        disrupted = sum(streams for (streams, _), _ in chosen)
+        if disrupted <= max_disrupted:
+            max_disrupted = disrupted - 1
+            best = [helpers[index] for _, index in chosen]
     return best
 
 
 def _rank_in_time(
-    disturbances: list['_Disturbance'],
+    disruptions: list['_Disruption'],
     part: float,
     longest: float,
     profile: EngineProfile,
 ) -> list[tuple[tuple[int, float], int]]:
-    """Rank the engines that read a part in time, each with its place."""
+    """Rank the engines that prefill a part in time, each with its index."""
     return [
-        (disturbance.rank(part, profile), place)
-        for place, disturbance in enumerate(disturbances)
-        if disturbance.predict(part) <= longest
+        (disruption.rank(part, profile), index)
+        for index, disruption in enumerate(disruptions)
+        if disruption.predict(part) <= longest
     ]
 
 
 @attrs.frozen
-class _Disturbance:
-    """What a part of a prompt would do to the streams of an engine.
+class _Disruption:
+    """Effect of a prompt part on the streams of an engine.
 
     Attributes
     ----------
@@ -133,22 +134,24 @@
         candidate: Candidate,
         profile: EngineProfile,
     ) -> Self:
-        """Predict an engine once, for parts of any length."""
+        """Predict the first token once, for parts of any length."""
         return cls(candidate, predict_first_token(candidate, 0, profile))
 
     def predict(self, part: float) -> float:
-        """Predict the seconds to the first token behind a part."""
+        """Predict the seconds to the first token after a part."""
         return self.first_token + part * self.candidate.slowdown
 
     def count_streams(self, part: float, profile: EngineProfile) -> int:
-        """Count the streams that pause too long, by their worth."""
+        """Count the streams that stall too long, weighted by their kind."""
         work = self.candidate.work
         if part * self.candidate.slowdown < profile.pauses.loose:
             return work.tight_calls
-        return work.tight_calls + work.patient_calls * STREAMS_PER_PATIENT_ONE
+        return (
+            work.tight_calls + work.patient_calls * STREAMS_PER_GAP_TOLERANT_ONE
+        )
 
     def rank(self, part: float, profile: EngineProfile) -> tuple[int, float]:
-        """Rank the least harm first, then the earliest first token."""
+        """Rank by the least disruption, then by the earliest first token."""
         return self.count_streams(part, profile), self.predict(part)
 
 
@@ -160,18 +163,18 @@
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
-    """Let one of the chosen answer, if one is able, and the others help."""
-    both = [candidate for candidate in chosen if candidate in able]
+    """Let one of the chosen answer, if any of them may, and the others help."""
+    able_chosen = [candidate for candidate in chosen if candidate in able]
 
-    def weigh(candidate: Candidate) -> float:  # noqa: WPS430  closure
+    def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         return predict_first_token(candidate, 0, profile)
 
-    first, _ = take_best(both or able, weigh, generator)
+    first, _ = take_best(able_chosen or able, score_candidate, generator)
     others = [candidate for candidate in chosen if candidate is not first]
-    if not both:
+    if not able_chosen:
         others = others[: len(chosen) - 1]
-    shares = _share_memory(first, others, helpers, need, profile)
-    # An engine that reserves memory reads a part as well.
+    shares = _distribute_memory(first, others, helpers, need, profile)
+    # An engine that reserves memory prefills a part as well.
     holders = [share for share, _ in shares if share not in others]
     others.extend(holders)
     part = profile.predict_prefill(need.prompt_tokens) / (len(others) + 1)
@@ -190,17 +193,17 @@
     )
 
 
-def _share_memory(
+def _distribute_memory(
     first: Candidate,
     others: list[Candidate],
     helpers: list[Candidate],
     need: Need,
     profile: EngineProfile,
 ) -> list[tuple[Candidate, int]]:
-    """Share out what the first engine has no memory for.
+    """Distribute the memory that the answering engine lacks.
 
-    Helpers that read anyway come first, those with most free memory of all;
-    fewer reservations are fewer that may fail.
+    Helpers chosen for the prefill come first, in the order of their free
+    memory; fewer reservations are fewer that may fail.
 
     Raises
     ------
@@ -210,7 +213,7 @@
     missing = need.memory_tokens - measure_free(first, profile)
     if missing <= 0:
         return []
-    # The first one keeps its spare tokens as well.
+    # The answering engine keeps its spare tokens as well.
     missing += SPARE_TOKENS
     ranked = sorted(
         (candidate for candidate in helpers if candidate is not first),
@@ -235,14 +238,16 @@
     need: Need,
     profile: EngineProfile,
 ) -> None:
-    """Refuse at once what all engines together could not hold.
+    """Check that the engines together could hold a prompt and its answer.
 
     Raises
     ------
     Unplaced
-        When waiting cannot help.
+        When they could not even with all their memory free.
     """
     engines = min(MOST_PARTS, len(candidates))
-    most = engines * (profile.memory_tokens - SPARE_TOKENS)
-    if need.memory_tokens > max(most, profile.memory_tokens):
-        raise Unplaced('larger than the engines hold', worth_waiting=False)
+    total = engines * (profile.memory_tokens - SPARE_TOKENS)
+    if need.memory_tokens > max(total, profile.memory_tokens):
+        raise Unplaced(
+            'larger than the memory of the engines', worth_waiting=False
+        )
--- a/src/kelproad/coordination/ingress/passes.py
+++ b/src/kelproad/coordination/ingress/passes.py
@@ -1,4 +1,8 @@
-"""What engines that work in passes will do, by what is in flight there."""
+"""Predictions for engines, from the work that is in flight there.
+
+An engine works in passes, iterations of its batch: each one prefills the
+prompts that wait and decodes a few tokens of every stream.
+"""
 
 import random
 from collections.abc import Callable
@@ -18,28 +22,29 @@
     'take_best',
 ]
 
-#: Seconds by which a certain failure makes an endpoint worse: about what
-#: noticing it and trying another one takes.
+#: Seconds added to an endpoint's score if it is certain to fail: about the time
+#: to detect a failure and to try another endpoint.
 FAILURE_SECONDS = 1.0
-#: Seconds by which the scores of two endpoints count as equal, so that
-#: instances with the same view don't all take the same one.
+#: Seconds within which two scores count as equal, so that instances with the
+#: same view don't all choose the same endpoint.
 _EQUAL_SECONDS = 0.004
 
 
 def predict_first_token(
     candidate: Candidate,
-    reading: float,
+    prompt_seconds: float,
     profile: EngineProfile,
 ) -> float:
     """Predict the seconds to the first token of a prompt, or of its part.
 
-    It waits for the pass that runs, half of it on average, and is read in the
-    next one, with all else that waits; its first token ends that pass.
+    It waits for the rest of the running pass, half a pass on average, and is
+    prefilled in the next one, together with everything else that waits; its
+    first token comes at the end of that pass.
     """
     published = (
         predict_work_pass(candidate.work, profile) / 2
         + candidate.work.prefill_seconds
-        + reading
+        + prompt_seconds
         + profile.predict_decode(
             candidate.work.calls + 1,
             candidate.work.context_tokens,
@@ -58,59 +63,63 @@
     share: float,
     profile: EngineProfile,
 ) -> float:
-    """Measure the seconds that an engine may read of a prompt without harm.
+    """Measure the seconds that an engine may prefill without disruption.
 
-    They are published seconds, of which a slow engine does fewer.
-    Harm is a pause of its streams, or reading for more than a share of what
-    is left of the prompt's objective.
+    They are seconds at published speed, so a slow engine has fewer.  The limit
+    is the stall that its streams tolerate, and a share of the rest of the
+    prompt's objective.
     """
-    own = need.left * share / candidate.slowdown
-    own -= candidate.work.prefill_seconds
+    allowance = need.left * share / candidate.slowdown
+    allowance -= candidate.work.prefill_seconds
     if not candidate.work.calls:
-        return own
+        return allowance
     longest = profile.pauses.loose
     if candidate.work.tight_calls:
         longest = profile.pauses.tight
     running = predict_work_pass(candidate.work, profile)
-    return min(own, longest / candidate.slowdown - running)
+    return min(allowance, longest / candidate.slowdown - running)
 
 
 def predict_work_pass(work: EndpointWork, profile: EngineProfile) -> float:
-    """Predict the published seconds of a pass with all that is in flight."""
+    """Predict the seconds of a pass, at published speed, with all its work."""
     if not work.calls:
         return work.prefill_seconds
-    writing = profile.predict_decode(work.calls, work.context_tokens)
-    return writing + work.prefill_seconds
+    decode = profile.predict_decode(work.calls, work.context_tokens)
+    return decode + work.prefill_seconds
 
 
 def has_slot(candidate: Candidate, profile: EngineProfile) -> bool:
-    """Tell whether an engine would begin with a call at once."""
+    """Return whether an engine would start a call at once."""
     return count_free_slots(candidate, profile) > 0
 
 
 def count_free_slots(candidate: Candidate, profile: EngineProfile) -> int:
-    """Count the calls that an engine would begin with at once."""
+    """Count the calls that an engine would start at once."""
     slots = candidate.endpoint.declaration.slots or profile.slots
     return slots - candidate.work.calls
 
 
 def measure_free(candidate: Candidate, profile: EngineProfile) -> int:
-    """Measure the tokens of memory that nothing in flight needs.
+    """Measure the tokens of memory that no work in flight needs.
 
-    Beyond its memory an engine would preempt the newest stream, even in its
-    midst, and read its prompt again.
+    An engine that runs out of memory preempts its newest stream, even one that
+    is decoding, and has to prefill its prompt again.
     """
     return profile.memory_tokens - candidate.work.context_tokens
 
 
 def take_best(
     candidates: list[Candidate],
-    weigh: Callable[[Candidate], float],
+    score_candidate: Callable[[Candidate], float],
     generator: random.Random,
 ) -> tuple[Candidate, float]:
-    """Take the lowest score, any of those that are about equal."""
-    scored = [(weigh(candidate), candidate) for candidate in candidates]
+    """Choose the lowest score, at random among those about equal to it."""
+    scored = [
+        (score_candidate(candidate), candidate) for candidate in candidates
+    ]
     lowest = min(score for score, _ in scored)
-    near = [item for item in scored if item[0] <= lowest + _EQUAL_SECONDS]
-    score, candidate = generator.choice(near)
+    near_lowest = [
+        item for item in scored if item[0] <= lowest + _EQUAL_SECONDS
+    ]
+    score, candidate = generator.choice(near_lowest)
     return candidate, score
--- a/src/kelproad/coordination/ingress/placement.py
+++ b/src/kelproad/coordination/ingress/placement.py
@@ -1,4 +1,4 @@
-"""What a placing decision is made of: candidates, the need, the result."""
+"""Data of a placement decision: candidates, requirements and result."""
 
 import math
 
@@ -9,28 +9,28 @@
 
 __all__ = ['Candidate', 'Need', 'Placement', 'Share', 'Unplaced']
 
-#: Share of its objective that a prompt may wait for engines to be free, and
-#: share of its caller's patience once it will be late in any case.
+#: Share of its objective for which a prompt may wait for free engines, and
+#: share of the caller's timeout for one that misses the objective in any case.
 WAIT_SHARE = 0.5
 LATE_WAIT_SHARE = 0.7
 
 
 @attrs.frozen
 class Candidate:
-    """An endpoint that a call may go to, with what is in flight there.
+    """An endpoint that a call may be sent to, and the work in flight there.
 
     Attributes
     ----------
     delay
-        Seconds one way from this instance.
+        Network delay from this instance, one way, in seconds.
     failing
         Share of the latest attempts that failed, from 0 to 1.
     may_answer
         Whether the call may be sent there, and not only a part of its prompt.
     may_help
-        Whether it would read a part of the prompt for another engine.
+        Whether it may prefill a part of the prompt for another engine.
     slowdown
-        Times the published seconds that it takes at present.
+        Factor by which it takes longer than published, at present.
     """
 
     endpoint: Endpoint
@@ -44,19 +44,19 @@
 
 @attrs.frozen
 class Need:
-    """What a call needs of engines.
+    """Resources and time limits of a call to engines.
 
     Attributes
     ----------
     memory_tokens
         Prompt and answer tokens.
     objective
-        Seconds from its arrival to its first token.
+        Seconds from arrival to the first token that the route aims at.
     waited
-        Seconds since its arrival.
+        Seconds since arrival.
     patience
-        Seconds from its arrival to its first token after which the caller has
-        left.
+        Seconds from arrival without a first token after which the caller
+        disconnects.
     """
 
     prompt_tokens: int
@@ -67,27 +67,27 @@
 
     @property
     def may_wait(self) -> bool:
-        """Whether there is time to wait for engines that are free."""
+        """Whether the objective leaves time to wait for free engines."""
         return self.waited < self.objective * WAIT_SHARE
 
     @property
     def may_wait_late(self) -> bool:
-        """Whether a caller that will be late has time to wait."""
+        """Whether there is time to wait once the objective is missed."""
         return self.waited < self.patience * LATE_WAIT_SHARE
 
     def when_late(self) -> 'Need':
-        """Take the caller's patience for the objective, which is missed."""
+        """Use the caller's timeout in place of an objective that is missed."""
         return attrs.evolve(self, objective=self.patience)
 
     @property
     def left(self) -> float:
-        """Seconds of the objective that are left, a tenth of it at least."""
+        """Remaining seconds of the objective, at least a tenth of it."""
         return max(self.objective - self.waited, self.objective / 10)
 
 
 @attrs.frozen
 class Share:
-    """Memory that one engine is to reserve for a prompt, in tokens."""
+    """Memory in tokens that one engine is to reserve for a prompt."""
 
     endpoint: Endpoint
     tokens: int
@@ -95,24 +95,24 @@
 
 @attrs.frozen
 class Placement:
-    """Where a call goes.
+    """The endpoints chosen for a call.
 
     Attributes
     ----------
     first
         The endpoint that answers.
     helpers
-        Engines that read parts of the prompt.
+        Helper engines, which prefill parts of the prompt.
     shares
-        Memory to be reserved at helpers, where the first one has too little.
+        Memory to reserve at helpers, where the first engine has too little.
     part_seconds
-        Predicted seconds of reading at each of them.
+        Predicted seconds of prefill at each engine.
     predicted
         Predicted seconds to the first token, or to the answer.
     considered
-        Candidates that were weighed.
+        Number of candidates that were scored.
     patient
-        Whether its stream may pause as long as it takes to read a part.
+        Whether its stream tolerates gaps as long as the prefill of a part.
     """
 
     first: Endpoint
@@ -125,16 +125,16 @@
 
 
 class Unplaced(Exception):
-    """No endpoint can take the call now.
+    """No endpoint can accept the call now.
 
     Attributes
     ----------
     worth_waiting
-        Whether an endpoint will be free soon, within the call's objective.
+        Whether one may become free while the call has time to wait.
     """
 
     def __init__(self, reason: str, worth_waiting: bool) -> None:
-        """Say why."""
+        """Give the reason for the refusal and the log."""
         super().__init__(reason)
         self.reason = reason
         self.worth_waiting = worth_waiting
--- a/src/kelproad/coordination/ingress/placing.py
+++ b/src/kelproad/coordination/ingress/placing.py
@@ -1,21 +1,24 @@
-"""Where a call goes: pure decisions over what is known of the endpoints.
-
-Streams of short prompts are packed: a short prompt goes to an engine that
-writes already, as long as its first token comes in time there.  A stream more
-costs a pass one millisecond, and every engine without streams can read long
-prompts without pausing anybody.
-
-A long one is read in parts by several engines: reading it at one
-would stretch each pass of that engine to hundreds of milliseconds, and every
-stream there would pause that long.
-
-How much an engine may read without harm depends on what it does.  Beside
-streams, a part must leave the pass shorter than their longest pause, which is
-longer for streams of long prompts; an engine without streams may read for a
-share of the prompt's own objective.  The fewest
-engines that together read the prompt without harm are taken.  If there are
-none, the prompt waits, as long as its objective permits, and then takes the
-engines that the fewest streams are on.
+"""Placement of calls, decided from the known state of the endpoints alone.
+
+An engine works in passes, iterations of its batch: each one prefills the
+prompts that wait and decodes a few tokens of every stream.
+
+Short prompts are packed: they go to engines that are decoding already, as long
+as the first token is predicted in time there.  One more stream lengthens a pass
+by one millisecond, and every engine left without streams can prefill long
+prompts without stalling any.
+
+A long prompt is split over several engines: prefilling it at one would stretch
+every pass of that engine to hundreds of milliseconds, and stall its streams
+for as long.
+
+How much an engine may prefill without disrupting streams depends on its work.
+Beside streams, a prompt part must keep the pass shorter than the longest gap
+that they tolerate, which is longer for streams of long prompts; an engine
+without streams may prefill for a share of the prompt's own objective.  The
+fewest engines that can prefill the prompt together on these terms are chosen.
+If there are none, the prompt waits for as long as its objective permits, and
+then goes to the engines with the fewest streams.
 """
 
 import random
@@ -41,16 +44,16 @@
 
 __all__ = ['choose_engines', 'choose_plain']
 
-#: Shares of what is left of its objective for which an engine without streams
-#: may read a prompt, or a part of it: at first a small one, which keeps the
-#: engine free for others, at last nearly all, which leaves little time for what
-#: was not foreseen.
+#: Shares of the rest of a prompt's objective for which an engine without
+#: streams may prefill it, or a part of it.  They are tried in order: a small
+#: one keeps the engine free for other prompts, the last one leaves little time
+#: for delays that were not predicted.
 PREFILL_SHARES = (0.3, 0.6, 0.85)
-#: Share of its objective in which the first token of a prompt is predicted at
-#: an engine that writes already, so that it may join there.  The rest covers
-#: the way to the caller and prompts that other instances send meanwhile.
+#: Share of its objective within which the first token of a prompt must be
+#: predicted for it to be packed with other streams.  The rest covers the way to
+#: the caller and prompts that other instances send meanwhile.
 PACK_SHARE = 0.55
-#: Slots that packing leaves free at an engine for calls that other instances
+#: Slots of an engine that packing leaves free for calls that other instances
 #: send at the same moment.
 PACK_SPARE_SLOTS = 1
 
@@ -60,24 +63,24 @@
     generator: random.Random,
     work_seconds: float,
 ) -> Placement:
-    """Choose an endpoint of a plain service: near, not busy, not failing.
+    """Choose an endpoint of a plain service by distance, load and failures.
 
     Parameters
     ----------
     candidates
         Endpoints that may be used.
     generator
-        Source of the choice among equal ones.
+        Source of randomness, to choose among about equal scores.
     work_seconds
-        Seconds that one call takes, for weighing queues against distance.
+        Seconds that one call takes, to score queues against distance.
 
     Raises
     ------
     Unplaced
-        When there is none.
+        When no candidate may answer.
     """
 
-    def weigh(candidate: Candidate) -> float:  # noqa: WPS430  closure
+    def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         slots = candidate.endpoint.declaration.slots or 1
         queued = max(0, candidate.work.calls + 1 - slots) / slots
         return (
@@ -89,7 +92,7 @@
     able = [candidate for candidate in candidates if candidate.may_answer]
     if not able:
         raise Unplaced('no endpoint', worth_waiting=False)
-    best, score = take_best(able, weigh, generator)
+    best, score = take_best(able, score_candidate, generator)
     return Placement(
         best.endpoint,
         predicted=score + work_seconds,
@@ -103,24 +106,24 @@
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
-    """Choose the engine that answers, and those that help to read the prompt.
+    """Choose the engine that answers, and helper engines for the prefill.
 
     Parameters
     ----------
     candidates
         Engines that may be used.
     need
-        What the call needs.
+        Tokens and time limits of the call.
     profile
         Published speeds of the engines.
     generator
-        Source of the choice among equal ones.
+        Source of randomness, to choose among about equal scores.
 
     Raises
     ------
     Unplaced
-        When no engine has room, or those that have are too busy to be
-        disturbed and the call has time to wait.
+        When no engine has room, or when the prefill would disrupt streams at
+        those that have and the call has time to wait.
     """
     with_slot = [
         candidate
@@ -135,15 +138,17 @@
         for candidate in with_slot
         if need.memory_tokens <= measure_free(candidate, profile)
     ]
-    reading = profile.predict_prefill(need.prompt_tokens)
-    harmless = [
+    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
+    non_disruptive = [
         candidate
         for candidate in with_room
         if measure_allowance(candidate, need, PREFILL_SHARES[0], profile)
-        >= reading
+        >= prefill_seconds
     ]
-    if harmless:
-        return _place_whole(harmless, need, reading, profile, generator)
+    if non_disruptive:
+        return _place_unsplit(
+            non_disruptive, need, prefill_seconds, profile, generator
+        )
     helpers = [
         candidate
         for candidate in candidates
@@ -158,7 +163,7 @@
             profile,
         )
     if not chosen:
-        chosen = _choose_without_room(helpers, need, profile)
+        chosen = _choose_disruptive(helpers, need, profile)
     return place_parts(
         chosen,
         with_room or with_slot,
@@ -169,56 +174,64 @@
     )
 
 
-def _choose_without_room(
+def _choose_disruptive(
     helpers: list[Candidate],
     need: Need,
     profile: EngineProfile,
 ) -> list[Candidate]:
-    """Choose the engines for a prompt that can't be read without harm in time.
+    """Choose engines for a prompt that would disrupt streams to be in time.
 
-    It waits, and then disturbs streams if that brings it in time.  One that
-    will be late in any case can't get later, so it waits longer for engines
-    that no stream is on.
+    It waits at first, and then disrupts streams if it can still meet its
+    objective.  A prompt that misses the objective in any case waits longer, for
+    engines without streams.
 
     Raises
     ------
     Unplaced
-        When it is to wait, or would come after its caller has left.
+        When it is to wait, or its first token would come after its caller has
+        disconnected.
     """
     if need.may_wait:
-        raise Unplaced('engines are reading', worth_waiting=True)
-    late = need.when_late()
+        raise Unplaced(
+            'prefill would disrupt running streams', worth_waiting=True
+        )
+    late_need = need.when_late()
     chosen = choose_forced(helpers, need, profile) or choose_harmless(
         helpers,
-        late,
+        late_need,
         PREFILL_SHARES[-1],
         profile,
     )
     if chosen:
         return chosen
     if need.may_wait_late:
-        raise Unplaced('engines are reading', worth_waiting=True)
-    chosen = choose_forced(helpers, late, profile)
+        raise Unplaced(
+            'prefill would disrupt running streams', worth_waiting=True
+        )
+    chosen = choose_forced(helpers, late_need, profile)
     if chosen:
         return chosen
-    raise Unplaced('it would come too late', worth_waiting=False)
+    raise Unplaced(
+        'the first token would come after the caller times out',
+        worth_waiting=False,
+    )
 
 
-def _place_whole(
+def _place_unsplit(
     able: list[Candidate],
     need: Need,
-    reading: float,
+    prefill_seconds: float,
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
-    def weigh(candidate: Candidate) -> float:  # noqa: WPS430  closure
-        return predict_first_token(candidate, reading, profile)
+    def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
+        return predict_first_token(candidate, prefill_seconds, profile)
 
-    packed = _choose_packed(able, need, weigh, profile)
-    best, predicted = take_best(packed or able, weigh, generator)
+    packed = _choose_packed(able, need, score_candidate, profile)
+    best, predicted = take_best(packed or able, score_candidate, generator)
     return Placement(
         best.endpoint,
-        part_seconds=reading,
+        part_seconds=prefill_seconds,
         predicted=predicted,
         considered=len(able),
     )
@@ -227,29 +240,32 @@
 def _choose_packed(
     able: list[Candidate],
     need: Need,
-    weigh: Callable[[Candidate], float],
+    score_candidate: Callable[[Candidate], float],
     profile: EngineProfile,
 ) -> list[Candidate]:
-    """Choose the fullest engines that write and are still in time.
+    """Choose the fullest of the decoding engines that meet the objective.
 
-    Near ones come first, as a stream that crosses zones breaks when they are
-    parted.
+    The nearest ones are preferred, as a stream across zones breaks when the
+    network between them is partitioned.
     """
-    writing = [
+    decoding = [
         candidate
         for candidate in able
         if candidate.work.calls
         and count_free_slots(candidate, profile) > PACK_SPARE_SLOTS
-        and weigh(candidate) <= need.objective * PACK_SHARE - need.waited
+        and score_candidate(candidate)
+        <= need.objective * PACK_SHARE - need.waited
     ]
-    if not writing:
+    if not decoding:
         return []
-    nearest = min(candidate.delay for candidate in writing)
-    near = [candidate for candidate in writing if candidate.delay == nearest]
-    # An engine that writes only for long prompts may read while it does so; a
-    # short one there would put an end to that.
+    nearest = min(candidate.delay for candidate in decoding)
+    near = [candidate for candidate in decoding if candidate.delay == nearest]
+    # An engine whose streams all tolerate long gaps can prefill prompt parts
+    # beside them; a gap-sensitive stream would end that.
     near = [candidate for candidate in near if candidate.work.tight_calls] or (
         near
     )
-    most = max(candidate.work.calls for candidate in near)
-    return [candidate for candidate in near if candidate.work.calls == most]
+    most_calls = max(candidate.work.calls for candidate in near)
+    return [
+        candidate for candidate in near if candidate.work.calls == most_calls
+    ]
