--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -164,14 +164,14 @@
     generator: random.Random,
 ) -> Placement:
     """Let one of the chosen answer, if any of them may, and the others help."""
-    able_chosen = [candidate for candidate in chosen if candidate in able]
+    both = [candidate for candidate in chosen if candidate in able]
 
     def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         return predict_first_token(candidate, 0, profile)
 
-    first, _ = take_best(able_chosen or able, score_candidate, generator)
+    first, _ = take_best(both or able, score_candidate, generator)
     others = [candidate for candidate in chosen if candidate is not first]
-    if not able_chosen:
+    if not both:
         others = others[: len(chosen) - 1]
     shares = _distribute_memory(first, others, helpers, need, profile)
     # An engine that reserves memory prefills a part as well.
--- a/src/kelproad/coordination/ingress/placing.py
+++ b/src/kelproad/coordination/ingress/placing.py
@@ -195,10 +195,10 @@
         raise Unplaced(
             'prefill would disrupt running streams', worth_waiting=True
         )
-    late_need = need.when_late()
+    late = need.when_late()
     chosen = choose_forced(helpers, need, profile) or choose_harmless(
         helpers,
-        late_need,
+        late,
         PREFILL_SHARES[-1],
         profile,
     )
@@ -208,7 +208,7 @@
         raise Unplaced(
             'prefill would disrupt running streams', worth_waiting=True
         )
-    chosen = choose_forced(helpers, late_need, profile)
+    chosen = choose_forced(helpers, late, profile)
     if chosen:
         return chosen
     raise Unplaced(
