--- a/src/kelproad/coordination/ingress/dispatching.py
+++ b/src/kelproad/coordination/ingress/dispatching.py
@@ -1,9 +1,9 @@
-"""Having a call answered: choose, send, hand on, and repeat where permitted.
+"""Dispatch of calls: choose endpoints, send, forward the answer, retry.
 
-Work that may run once only is sent once, unless the endpoint says that it did
-not run it or no connection came about.  Work that may be repeated goes to
-another endpoint when one fails, within the retry budget; a stream is resumed
-behind the last event that the caller has.
+A call that may run only once is sent once, unless the endpoint states that it
+did not run it or no connection was made.  A repeatable call goes to another
+endpoint when one fails, within the retry budget; a stream is resumed after the
+last event that the caller has received.
 """
 
 import asyncio
@@ -34,13 +34,13 @@
 __all__ = ['Dispatcher']
 
 _logger = logging.getLogger(__name__)
-#: Seconds after which a call that waits for engines looks again: a fifth of
-#: the shortest pass.
-_LOOK_AGAIN = 0.01
+#: Seconds between two placement attempts of a call that waits for engines: a
+#: fifth of the shortest pass.
+_PLACEMENT_PERIOD = 0.01
 
 
 class Dispatcher:
-    """Answers calls by endpoints."""
+    """Dispatches calls to endpoints and forwards their answers."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         stop_guard: StopGuard,
         counters: Counters,
     ) -> None:
-        """Choose, send and judge with these parts."""
+        """Combine the choice, the sending and the evaluation of attempts."""
         self._chooser = chooser
         self._sender = sender
         self._verdicts = verdicts
@@ -66,19 +66,21 @@
         call: Call,
         http_request: web.BaseRequest,
     ) -> Result[web.StreamResponse, Refusal]:
-        """Have a call answered within its deadline, and before a stop ends.
+        """Dispatch a call, within its deadline and before a stop ends.
 
         Raises
         ------
         CallerLeftError
-            When the caller is gone.
+            When the caller has disconnected.
         """
         self._retries.count_call(call.service, monotonic())
         progress = Progress()
         delivery = StreamDelivery(http_request, call)
         try:
             async with self._stop_guard.until_end():
-                return await self._work(call, progress, delivery, http_request)
+                return await self._send_with_retries(
+                    call, progress, delivery, http_request
+                )
         except StopEndedError:
             return _give_up(
                 call,
@@ -88,14 +90,14 @@
                 CallEnd.CUT_BY_STOP,
             )
 
-    async def _work(
+    async def _send_with_retries(
         self,
         call: Call,
         progress: Progress,
         delivery: StreamDelivery,
         http_request: web.BaseRequest,
     ) -> Result[web.StreamResponse, Refusal]:
-        """Send a call to one endpoint after another while that is permitted."""
+        """Send a call to one endpoint after another while it may be retried."""
         while True:
             placed = await self._place(call, progress, delivery)
             if isinstance(placed, Failure):
@@ -108,9 +110,9 @@
                 http_request.headers,
             )
             if not isinstance(outcome, Failure):
-                self._note_stream(call, placed.unwrap(), delivery)
+                self._record_stream(call, placed.unwrap(), delivery)
                 return outcome
-            _note_failure(progress, placed.unwrap(), outcome.failure())
+            _record_failure(progress, placed.unwrap(), outcome.failure())
             stop = self._verdicts.explain_stop(call, progress)
             if stop is not None:
                 return _give_up(call, progress, delivery, stop)
@@ -123,7 +125,7 @@
         progress: Progress,
         delivery: StreamDelivery,
     ) -> Result[Placement, Refusal]:
-        """Choose endpoints, waiting for free ones while that makes sense."""
+        """Choose endpoints, waiting for free ones while there is time."""
         while True:
             if not (delivery.begun or self._stop_guard.may_begin(call)):
                 return Failure(refuse_stopping())
@@ -131,10 +133,10 @@
                 return Success(await self._chooser.choose(call, progress))
             except Unplaced as unplaced:
                 reason = unplaced.reason
-                waits = unplaced.worth_waiting
-            if not waits or call.remaining(monotonic()) < ANSWER_MARGIN:
+                may_wait = unplaced.worth_waiting
+            if not may_wait or call.remaining(monotonic()) < ANSWER_MARGIN:
                 return Failure(_refuse_unplaced(reason))
-            await asyncio.sleep(_LOOK_AGAIN)
+            await asyncio.sleep(_PLACEMENT_PERIOD)
 
     async def _attempt(
         self,
@@ -144,7 +146,7 @@
         delivery: StreamDelivery,
         received: CIMultiDict[str],
     ) -> Result[web.StreamResponse, AttemptFailure]:
-        """Send a call to one endpoint and hand its answer on."""
+        """Send a call to one endpoint and forward its answer."""
         endpoint = placement.first
         progress.begin()
         call.attempts += 1
@@ -165,13 +167,13 @@
         self._verdicts.note(call, placement, failure)
         return outcome
 
-    def _note_stream(
+    def _record_stream(
         self,
         call: Call,
         placement: Placement,
         delivery: StreamDelivery,
     ) -> None:
-        """Note how a complete stream went: what makes it late, if it is."""
+        """Record the timing of a complete stream in the metrics and the log."""
         if delivery.first_at is None:
             return
         first = delivery.first_at - call.arrived
@@ -198,9 +200,10 @@
     refusal: Refusal,
     end: CallEnd = CallEnd.BROKEN_OFF,
 ) -> Result[web.StreamResponse, Refusal]:
-    """End a call that got no whole answer.
+    """End a call that got no complete answer.
 
-    ``end`` says how it ended if its answer had begun.
+    A stream that has begun is aborted, with ``end`` recorded.  Otherwise the
+    caller gets an endpoint's error if it may be forwarded, or the refusal.
     """
     if delivery.begun:
         call.end = end
@@ -217,13 +220,13 @@
     return Failure(progress.complete(refusal))
 
 
-def _note_failure(
+def _record_failure(
     progress: Progress,
     placement: Placement,
     failure: AttemptFailure,
 ) -> None:
-    blamed = find_blamed(placement, failure)
-    progress.note(failure, placement.first.name, blamed.name)
+    at_fault = find_blamed(placement, failure)
+    progress.note(failure, placement.first.name, at_fault.name)
 
 
 def _record_placement(call: Call, placement: Placement) -> None:
--- a/src/kelproad/coordination/ingress/placement.py
+++ b/src/kelproad/coordination/ingress/placement.py
@@ -10,7 +10,7 @@
 __all__ = ['Candidate', 'Need', 'Placement', 'Share', 'Unplaced']
 
 #: Share of its objective for which a prompt may wait for free engines, and
-#: share of the caller's timeout for one that misses the objective in any case.
+#: share of the caller's silence timeout for one that misses it in any case.
 WAIT_SHARE = 0.5
 LATE_WAIT_SHARE = 0.7
 
@@ -56,7 +56,7 @@
         Seconds since arrival.
     patience
         Seconds from arrival without a first token after which the caller
-        disconnects.
+        disconnects (its silence timeout).
     """
 
     prompt_tokens: int
@@ -76,7 +76,7 @@
         return self.waited < self.patience * LATE_WAIT_SHARE
 
     def when_late(self) -> 'Need':
-        """Use the caller's timeout in place of an objective that is missed."""
+        """Use the silence timeout in place of an objective that is missed."""
         return attrs.evolve(self, objective=self.patience)
 
     @property
--- a/src/kelproad/coordination/ingress/progress.py
+++ b/src/kelproad/coordination/ingress/progress.py
@@ -1,4 +1,4 @@
-"""What became of one call so far, over its attempts."""
+"""State of one call over its attempts."""
 
 import attrs
 
@@ -8,29 +8,29 @@
 
 __all__ = ['Progress']
 
-#: Seconds after which a refused caller should come back when nothing better
-#: is known: about as long as an engine takes for a few short streams.
+#: Seconds after which a refused caller should retry if nothing better is known:
+#: about as long as an engine takes for a few short streams.
 RETRY_AFTER = 0.5
 
 
 @attrs.define
 class Progress:
-    """What became of a call so far.
+    """State of one call over its attempts so far.
 
     Attributes
     ----------
     ran
-        Whether any attempt ran, or may have.
+        Whether any attempt was executed, or may have been.
     tried
-        Endpoints that must not take part again.
+        Endpoints that are excluded from further attempts.
     reached
-        Endpoints that an attempt arrived at.
+        Endpoints to which a connection was made.
     fallback
-        Error of an endpoint, for want of anything better.
+        Error answer of an endpoint, for the caller if no attempt succeeds.
     last
-        The last attempt that ended.
+        The latest attempt that failed.
     in_flight
-        Whether an attempt is under way, so that the call may be running.
+        Whether an attempt is in progress, so that the call may be running.
     """
 
     ran: Ran = Ran.NO
@@ -41,25 +41,25 @@
     in_flight: bool = False
 
     def begin(self) -> None:
-        """Enter an attempt that begins."""
+        """Record that an attempt starts."""
         self.in_flight = True
 
-    def note(self, failure: AttemptFailure, first: str, blamed: str) -> None:
-        """Take in an attempt that failed.
+    def note(self, failure: AttemptFailure, first: str, at_fault: str) -> None:
+        """Record an attempt that failed.
 
         Parameters
         ----------
         failure
-            How it failed.
+            The failure.
         first
             Endpoint that it was sent to.
-        blamed
-            Endpoint at fault: that one, or one that was to help it.  Without
-            the helper, the call may be sent to the same endpoint again.
+        at_fault
+            Endpoint at fault: ``first`` or one of its helpers.  With that
+            helper excluded, the call may be sent to ``first`` again.
         """
         self.last = failure
         self.in_flight = False
-        self.tried.add(failure.avoid or blamed)
+        self.tried.add(failure.avoid or at_fault)
         if failure.arrived:
             self.reached.add(first)
         if failure.ran is not Ran.NO and self.ran is not Ran.YES:
@@ -68,20 +68,21 @@
             self.fallback = failure.answer
 
     def may_answer(self, endpoint: str, most_endpoints: int) -> bool:
-        """Tell whether a call may be sent to an endpoint as its next one."""
+        """Return whether the next attempt may be sent to an endpoint."""
         return endpoint in self.reached or len(self.reached) < most_endpoints
 
     def is_spent(self, most_endpoints: int) -> bool:
-        """Tell whether a call may be sent to no endpoint any more."""
+        """Return whether the call may be sent to no endpoint any more."""
         return (
             len(self.reached) >= most_endpoints and self.reached <= self.tried
         )
 
     def may_hand_on_error(self, call: Call) -> bool:
-        """Tell whether an endpoint's error may go to the caller as it is.
+        """Return whether an endpoint's error may be forwarded unchanged.
 
-        Some statuses promise that the call has not run; of work that may run
-        once only, that would be untrue.
+        Some statuses promise that the call has not run.  A call that may run
+        only once must not get that promise from an endpoint that may have run
+        it.
         """
         if self.fallback is None:
             return False
@@ -90,7 +91,7 @@
         )
 
     def complete(self, refusal: Refusal) -> Refusal:
-        """Let a refusal speak for all attempts, not only for the last."""
+        """Adapt a refusal to the outcome of all attempts, not only the last."""
         ran = self.ran
         if self.in_flight and ran is Ran.NO:
             ran = Ran.UNKNOWN
@@ -103,7 +104,7 @@
 
 
 def _promise_not_run(refusal: Refusal) -> Refusal:
-    """Let a refusal say that the call has not run, and when to come back."""
+    """Make a refusal promise that the call has not run, with a retry time."""
     code = refusal.code
     if code is RefusalCode.DEADLINE_EXCEEDED:
         code = RefusalCode.NO_CAPACITY
--- a/src/kelproad/coordination/ingress/verdicts.py
+++ b/src/kelproad/coordination/ingress/verdicts.py
@@ -1,4 +1,4 @@
-"""What attempts say of endpoints, and whether a call may be sent again."""
+"""Evaluation of attempts: endpoint failures, and permission to retry."""
 
 import logging
 
@@ -21,20 +21,20 @@
 __all__ = ['Verdicts', 'find_blamed']
 
 _logger = logging.getLogger(__name__)
-#: Seconds before its deadline at which a call is no longer tried: less than a
+#: Seconds before its deadline from which on a call is not retried: less than a
 #: connection and the shortest answer take.
 ANSWER_MARGIN = 0.03
-#: Seconds for which an endpoint is left alone when another one answered at its
-#: address.  Who is gone has no entry by then, as endpoints report every second
-#: or so; who is still listed has probably reported since.  That is told by the
-#: time, since peers don't hear of reports that say nothing new, and one that
-#: was under way with the answer proves nothing.
+#: Seconds for which an endpoint gets no calls after another one answered at its
+#: address.  Endpoints report every second or so: by then the entry of one that
+#: has exited is removed, and one that is still listed has probably reported
+#: since.  The time decides, since peers are not sent reports that hold nothing
+#: new, and a report that was under way with the answer proves nothing.
 _DISOWNED_SECONDS = 5.0
 
 
 @attrs.frozen
 class Verdicts:
-    """Judges attempts that have ended."""
+    """Evaluates attempts that have ended."""
 
     _table: EndpointTable
     _retries: SharedRetries
@@ -48,7 +48,7 @@
         placement: Placement,
         failure: AttemptFailure | None,
     ) -> None:
-        """Enter how an attempt ended, for its endpoint and the log."""
+        """Record the outcome of an attempt: endpoint state, metrics and log."""
         now = monotonic()
         endpoint = placement.first
         self._counters.attempts.inc(
@@ -63,20 +63,21 @@
         if failure is None:
             note_outcome(self._table, endpoint, None, now, self._counters)
             return
-        self._record(call, endpoint, failure, now)
+        self._log_failure(call, endpoint, failure, now)
         if not (failure.arrived or failure.blameless):
             self._reach.note_unreached(zone, now)
         if not failure.blameless:
-            self._blame(placement, failure, now)
+            self._record_fault(placement, failure, now)
 
     def explain_stop(
         self,
         call: Call,
         progress: Progress,
     ) -> Refusal | None:
-        """Say why a call is not tried again; ``None`` when it may be.
+        """Return the refusal for a call that must not be retried, or ``None``.
 
-        A retry is taken out of the budget by this.
+        ``None`` permits a retry; if an endpoint was reached, it is spent from
+        the retry budget.
         """
         failure = progress.last
         if call.remaining(monotonic()) < ANSWER_MARGIN:
@@ -85,14 +86,15 @@
             return _refuse(RefusalCode.ENDPOINT_FAILED, failure.reason)
         if progress.is_spent(call.route.most_endpoints):
             return _refuse(RefusalCode.NO_CAPACITY, failure.reason)
-        # A call that reached no endpoint is no retry for anyone.
+        # No endpoint has seen a call that did not arrive: sending it again adds
+        # no load and needs no retry from the budget.
         if failure.arrived and not self._retries.spend(call.service):
             self._counters.retries.inc({'outcome': 'budget spent'})
             return _refuse(RefusalCode.NO_CAPACITY, 'retry budget spent')
         self._counters.retries.inc({'outcome': 'permitted'})
         return None
 
-    def _blame(
+    def _record_fault(
         self,
         placement: Placement,
         failure: AttemptFailure,
@@ -102,7 +104,7 @@
         if endpoint is not placement.first:
             self._observations.note_refusal(endpoint.name, now)
         if failure.misdirected:
-            # Somebody else answered, which says nothing of how it does.
+            # Another endpoint answered: no evidence on the health of this one.
             endpoint.disowned_until = now + _DISOWNED_SECONDS
             return
         note_outcome(
@@ -113,7 +115,7 @@
             self._counters,
         )
 
-    def _record(
+    def _log_failure(
         self,
         call: Call,
         endpoint: Endpoint,
@@ -135,7 +137,7 @@
 
 
 def find_blamed(placement: Placement, failure: AttemptFailure) -> Endpoint:
-    """Find the helper that the answering engine blames, or take that one."""
+    """Return the helper that the answering engine named, or that engine."""
     for helper in placement.helpers:
         if failure.fault == helper.declaration.address:
             return helper
