--- a/src/kelproad/coordination/ingress/attempts.py
+++ b/src/kelproad/coordination/ingress/attempts.py
@@ -1,8 +1,8 @@
-"""One attempt: a call sent to one endpoint, its answer handed on.
+"""Attempts: a call sent to one endpoint, and the answer read from it.
 
-Each attempt has a connection of its own.  A kept one may have gone silent, may
-be closed by the endpoint just now, or may hold an answer that belongs to
-another call; on a fresh one, a failure to connect proves that nothing ran.
+Each attempt opens a connection of its own.  A pooled one may be dead, may just
+be closed by the endpoint, or may hold the answer to another call; with a new
+one, a failure to connect proves that nothing ran.
 """
 
 import asyncio
@@ -36,34 +36,35 @@
 ]
 
 #: Seconds for connecting: an engine without power never answers, and a short
-#: prompt can still be in time at another one.
+#: prompt can still meet its objective at another one.
 CONNECT_TIMEOUT = 0.15
-#: Seconds after which it is looked whether a silent answer is still waited
-#: for, as more may be known of its endpoint by then.
-_LOOK_PERIOD = 0.1
-_BODILESS = frozenset((204, 304))
+#: Seconds between two checks whether to go on waiting for a silent answer, as
+#: more may be known of its endpoint by then.
+_CHECK_PERIOD = 0.1
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
 @attrs.frozen
 class AttemptFailure:
-    """An attempt that brought no answer to hand on.
+    """An attempt without an answer to forward.
 
     Attributes
     ----------
     ran
-        Whether the call was run there.
+        Whether the endpoint executed the call.
     arrived
         Whether a connection was made, so that the endpoint may have read it.
     fault
-        Address of the endpoint at fault, when it said that it is another one.
+        Address of the endpoint at fault, if the answer named another one.
     blameless
-        It says nothing of the endpoint, such as a deadline that passed.
+        Whether the failure is not attributed to the endpoint, such as an
+        expired deadline.
     avoid
-        Name of another endpoint that should not take part next time.
+        Name of another endpoint to exclude from the next attempt.
     misdirected
-        Another endpoint has its address now.
+        Whether another endpoint has the address now.
     answer
-        An error that the endpoint answered with.
+        The error that the endpoint answered with.
     """
 
     reason: str
@@ -78,23 +79,23 @@
 
 @attrs.frozen
 class WholeAnswer:
-    """An answer with its whole body."""
+    """An answer with its complete body."""
 
     head: AnswerHead
     body: bytes
 
     def build_response(self) -> web.Response:
-        """Build what the caller gets, unchanged."""
+        """Build the response to the caller, with status and body unchanged."""
         return web.Response(
             status=self.head.status,
             headers=CIMultiDict(self.head.headers),
-            body=None if self.head.status in _BODILESS else self.body,
+            body=None if self.head.status in _BODILESS_STATUSES else self.body,
         )
 
 
 @attrs.frozen
 class OpenAnswer:
-    """An answer whose head is there and whose body is on its way."""
+    """An answer whose head has been read and whose body has not."""
 
     head: AnswerHead
     response: aiohttp.ClientResponse
@@ -102,54 +103,56 @@
 
     async def read_chunks(
         self,
-        is_too_long: Callable[[float], bool] | None = None,
+        is_stalled: Callable[[float], bool] | None = None,
     ) -> AsyncIterator[bytes]:
         """Yield the body as it arrives.
 
         Parameters
         ----------
-        is_too_long
-            Tells whether so many seconds without a byte are too long; left
-            out, none are.
+        is_stalled
+            Returns whether to stop waiting after the given seconds without a
+            byte; without it, there is no limit.
 
         Raises
         ------
         TimeoutError
-            When nothing came for longer.
+            When ``is_stalled`` returns true.
         aiohttp.ClientError
             When the connection broke before the end.
         """
         while True:
-            chunk = await self._read_next(is_too_long)
+            chunk = await self._read_next(is_stalled)
             if not chunk and self.response.content.at_eof():
                 break
             yield chunk
         if not self.ended_properly():
-            raise ConnectionLostError('reset in place of the end of the body')
+            raise ConnectionLostError(
+                'connection reset before the end of the body'
+            )
 
     def close(self) -> None:
-        """Close the connection; the endpoint then drops the work."""
+        """Close the connection, on which the endpoint aborts the work."""
         self.response.close()
 
     async def _read_next(
         self,
-        is_too_long: Callable[[float], bool] | None,
+        is_stalled: Callable[[float], bool] | None,
     ) -> bytes:
-        if is_too_long is None:
+        if is_stalled is None:
             return await self.response.content.readany()
-        began = monotonic()
+        started_at = monotonic()
         while True:
             try:
-                async with asyncio.timeout(_LOOK_PERIOD):
+                async with asyncio.timeout(_CHECK_PERIOD):
                     return await self.response.content.readany()
             except asyncio.TimeoutError:
-                if is_too_long(monotonic() - began):
+                if is_stalled(monotonic() - started_at):
                     raise
 
 
 @attrs.frozen
 class EndpointClient:
-    """Sends calls to endpoints, each once."""
+    """Sends calls to endpoints, without retries."""
 
     _session: aiohttp.ClientSession
     _dialect: Dialect
@@ -161,12 +164,12 @@
         endpoint: Endpoint,
         forwarding: Forwarding,
         deadline: float,
-        longest_silence: float,
+        fault_threshold: float,
     ) -> Result[OpenAnswer, AttemptFailure]:
         """Send a call and read the head of its answer, until a deadline.
 
-        An endpoint is to blame for a silence that was no shorter than
-        ``longest_silence`` seconds.
+        A silence until the deadline is attributed to the endpoint if it lasted
+        ``fault_threshold`` seconds or longer.
         """
         progress = ConnectionProgress()
         sent_at = monotonic()
@@ -181,13 +184,13 @@
                 )
         except asyncio.TimeoutError:
             now = monotonic()
-            blameless = now >= deadline and now - sent_at < longest_silence
+            blameless = now >= deadline and now - sent_at < fault_threshold
             return Failure(_fail(progress, 'no answer in time', blameless))
         except (aiohttp.ClientError, OSError) as error:
             return Failure(_fail(progress, repr(error), blameless=False))
         head = self._dialect.read_answer_head(response, call.request_id)
         answer = OpenAnswer(head, response, watch_end(response))
-        return await self._sort(answer, deadline)
+        return await self._classify(answer, deadline)
 
     async def _send(
         self,
@@ -200,7 +203,7 @@
         address = endpoint.declaration.address
         return await self._session.request(
             call.head.method,
-            # Encoded: the path goes on exactly as the caller wrote it.
+            # Encoded: the path is forwarded exactly as the caller wrote it.
             yarl.URL(f'http://{address}{call.head.target}', encoded=True),
             headers=self._dialect.encode_call(call, received, forwarding),
             data=call.body or None,
@@ -210,12 +213,12 @@
             trace_request_ctx=progress,
         )
 
-    async def _sort(
+    async def _classify(
         self,
         answer: OpenAnswer,
         deadline: float,
     ) -> Result[OpenAnswer, AttemptFailure]:
-        """Tell answers to hand on from those that are failures."""
+        """Separate answers to forward from failures."""
         head = answer.head
         if head.outcome is Outcome.ANSWERED:
             return Success(answer)
@@ -240,24 +243,28 @@
     answer: OpenAnswer,
     deadline: float,
 ) -> Result[WholeAnswer, AttemptFailure]:
-    """Read the whole body of an answer."""
+    """Read the complete body of an answer, and close the answer."""
     received = bytearray()
     try:
         async with within(deadline):
             async for chunk in answer.read_chunks():
                 received += chunk
                 if len(received) > MAX_ANSWER_BYTES:
-                    return _fail_broken('the answer is too long')
+                    return _fail_executed('the answer is too long')
     except asyncio.TimeoutError:
-        return Failure(AttemptFailure('body late', Ran.UNKNOWN, blameless=True))
+        return Failure(
+            AttemptFailure(
+                'the body did not arrive in time', Ran.UNKNOWN, blameless=True
+            )
+        )
     except (aiohttp.ClientError, OSError) as error:
-        return _fail_broken(f'body broken off: {error!r}')
+        return _fail_executed(f'the body was truncated: {error!r}')
     finally:
         answer.close()
     return Success(WholeAnswer(answer.head, bytes(received)))
 
 
-def _fail_broken(reason: str) -> Result[WholeAnswer, AttemptFailure]:
+def _fail_executed(reason: str) -> Result[WholeAnswer, AttemptFailure]:
     return Failure(AttemptFailure(reason, Ran.YES))
 
 
@@ -265,7 +272,7 @@
     answer: OpenAnswer,
     deadline: float,
 ) -> AttemptFailure:
-    """Read an error of the endpoint's own, to hand on if nothing is better."""
+    """Read an error of the endpoint, to forward if no attempt succeeds."""
     collected = await collect(answer, deadline)
     if isinstance(collected, Failure):
         return collected.failure()
--- a/src/kelproad/coordination/ingress/memory.py
+++ b/src/kelproad/coordination/ingress/memory.py
@@ -1,8 +1,8 @@
-"""Memory reserved at several engines for one prompt that none can hold.
+"""Reservation of memory at several engines for a prompt too large for one.
 
-A reservation is short and renewed while it is used, so that what a dead
-instance reserved is free again soon.  It ends on every path: released when the
-attempt ends, and lapsing by itself where the release is lost.
+A reservation is short and renewed while it is in use, so that the memory that a
+crashed instance reserved is free again soon.  It ends in any case: it is
+released when the attempt ends, and lapses where the release is lost.
 """
 
 import asyncio
@@ -20,33 +20,33 @@
 __all__ = ['EngineOrders', 'MemoryKeeper', 'Reservation']
 
 _logger = logging.getLogger(__name__)
-#: Seconds for which memory is reserved at a time, and the largest share of the
-#: time after which memory that nobody uses any more counts as lost.
+#: Seconds for which memory is reserved at a time, and the largest share that
+#: this may be of the time in which the operators want unused memory free.
 HOLD_SECONDS = 2.5
 _HOLD_SHARE = 0.625
-#: Share of a reservation's time after which it is renewed: two renewals may be
-#: lost in a row.
+#: Share of a reservation's time after which it is renewed: two renewals in a
+#: row may be lost.
 _RENEW_SHARE = 0.3
-#: Rounds in a row without an answer after which the engine that a prompt was
-#: sent to counts as gone, so that one lost packet does not end a stream.
-_SILENT_ROUNDS = 2
-#: Times that a release is tried before the reservation is left to lapse.
+#: Queries in a row without an answer after which the engine that a prompt was
+#: sent to counts as lost: one lost packet must not end a stream.
+_MAX_UNANSWERED = 2
+#: Attempts to release a reservation before it is left to lapse.
 _RELEASE_TRIES = 2
 
 
 @attrs.frozen
 class EngineOrders:
-    """How engines are told to reserve and to release memory.
+    """Remote operations of engines that reservations need.
 
     Attributes
     ----------
     reserve
-        Reserve tokens under an id for some seconds, or renew that.
+        Reserve tokens under an id for some seconds, or renew a reservation.
     release
-        Release what is reserved under an id.
+        Release the reservation under an id.
     read_slowdown
-        Ask the engine at an address how many times the published seconds it
-        takes; one that is alive answers within 0.3 s.
+        Query an engine by address for the factor by which it takes longer than
+        published; an engine that is alive answers within 0.3 s.
     """
 
     reserve: Callable[[str, str, int, float], Awaitable[Result[None, str]]]
@@ -58,8 +58,7 @@
 class Reservation:
     """Memory reserved at one engine.
 
-    ``ticket`` is the id under which the engine knows it; no two attempts ever
-    have the same.
+    ``ticket`` is its id at the engine, unique over all attempts.
     """
 
     endpoint: Endpoint
@@ -75,7 +74,7 @@
         orders: EngineOrders,
         read_bounds: Callable[[], Bounds],
     ) -> None:
-        """Give orders to engines, within what operators permit."""
+        """Reserve with operations of engines, within the operators' bounds."""
         self._orders = orders
         self._read_bounds = read_bounds
         self._releases: set[asyncio.Task[None]] = set()
@@ -90,7 +89,7 @@
         Returns
         -------
         Result
-            The reservations, or the endpoint that has no memory.
+            The reservations, or the first endpoint that refused or failed.
         """
         wanted = tuple(
             Reservation(share.endpoint, f'{attempt_id}.{index}', share.tokens)
@@ -99,8 +98,8 @@
         try:
             answers = await asyncio.gather(*map(self._reserve, wanted))
         except asyncio.CancelledError:
-            # The caller left, or a stop ended, with orders under way that
-            # engines may carry out: memory would be held until it lapses.
+            # The caller disconnected, or a stop ended, while engines may still
+            # execute requests: the memory would be held until it lapses.
             self.release(wanted)
             raise
         for reservation, answered in zip(wanted, answers, strict=True):
@@ -112,8 +111,8 @@
                     tokens=reservation.tokens,
                     reason=answered.failure(),
                 )
-                # All are released: an order without an answer may yet be
-                # carried out.
+                # All are released: a request without an answer may still be
+                # executed.
                 self.release(wanted)
                 return Failure(reservation.endpoint)
         return Success(wanted)
@@ -123,20 +122,20 @@
         reservations: tuple[Reservation, ...],
         user: Endpoint,
     ) -> None:
-        """Renew reservations until cancelled, or until their user is gone.
+        """Renew reservations until cancelled, or until their user is lost.
 
-        An engine that loses power resets nothing: the attempt would wait for
-        its first event as long as a long prompt may take, and the memory of
-        its helpers would be held for nobody all that time.
+        An engine that loses power resets no connection: the attempt would wait
+        for its first event as long as a long prompt may take, and the memory of
+        its helpers would be held without use all that time.
         """
-        silent = 0
-        while silent < _SILENT_ROUNDS:
+        unanswered = 0
+        while unanswered < _MAX_UNANSWERED:
             await asyncio.sleep(self._choose_hold() * _RENEW_SHARE)
             address = user.declaration.address
             if isinstance(await self._orders.read_slowdown(address), Failure):
-                silent += 1
+                unanswered += 1
             else:
-                silent = 0
+                unanswered = 0
                 await self._renew(reservations)
         record(_logger, 'memory_user_gone', endpoint=user.name)
 
@@ -148,7 +147,7 @@
             task.add_done_callback(self._releases.discard)
 
     async def finish(self, seconds: float) -> None:
-        """Wait for releases under way, so many seconds at the most."""
+        """Wait for releases in progress, for ``seconds`` at most."""
         if self._releases:
             await asyncio.wait(self._releases, timeout=seconds)
 
@@ -174,7 +173,7 @@
         )
 
     def _choose_hold(self) -> float:
-        """Choose the seconds of a reservation by the bounds in force."""
+        """Choose the seconds of a reservation from the operators' bounds."""
         bounds = self._read_bounds()
         return min(
             HOLD_SECONDS,
--- a/src/kelproad/coordination/ingress/sending.py
+++ b/src/kelproad/coordination/ingress/sending.py
@@ -1,4 +1,4 @@
-"""One attempt from the reservation of memory to the last event."""
+"""Execution of one attempt, from reserving memory to the last event."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,21 +37,21 @@
 
 __all__ = ['Sender']
 
-Outcome = Result[web.StreamResponse, AttemptFailure]
+_SendResult = Result[web.StreamResponse, AttemptFailure]
 
 
 @attrs.frozen
 class _Attempt:
-    """A call on its way to one endpoint.
+    """A call that is sent to one endpoint.
 
     Attributes
     ----------
     delivery
-        Hands a stream on to the caller.
+        Forwards a stream to the caller.
     received
         Headers that the caller sent.
     account
-        Its work in the ledger.
+        Work of the attempt in the ledger.
     reservations
         Memory that is reserved for it at helpers.
     """
@@ -64,7 +64,7 @@
     reservations: tuple[Reservation, ...] = ()
 
     def build_forwarding(self) -> Forwarding:
-        """Build what the endpoint is told beside the call itself."""
+        """Build the data that the endpoint gets in addition to the call."""
         call = self.call
         tickets = {
             reservation.endpoint.name: reservation.ticket
@@ -83,7 +83,7 @@
 
 
 class Sender:
-    """Carries out attempts."""
+    """Executes attempts and forwards their answers."""
 
     def __init__(
         self,
@@ -93,10 +93,10 @@
         retries: SharedRetries,
         watch: EngineWatch,
     ) -> None:
-        """Send by a client, with memory reserved where that is needed.
+        """Send with a client, and reserve memory where a placement needs it.
 
-        The ledger tells what engines are busy with, the retries whether a call
-        could go on elsewhere; the watch is told of long pauses.
+        The ledger holds the work of engines, ``retries`` whether a call could
+        be sent again; ``watch`` gets reports of slow answers and stalls.
         """
         self._client = client
         self._retries = retries
@@ -111,8 +111,8 @@
         delivery: StreamDelivery,
         received: CIMultiDict[str],
         account: AttemptAccount,
-    ) -> Outcome:
-        """Send a call and hand its answer on."""
+    ) -> _SendResult:
+        """Send a call and forward its answer."""
         attempt = _Attempt(call, placement, delivery, received, account)
         if not placement.shares:
             return await self._exchange(attempt)
@@ -133,20 +133,21 @@
         attempt = attrs.evolve(attempt, reservations=reserved.unwrap())
         exchange = asyncio.create_task(self._exchange(attempt))
         try:
-            return await self._keep_during(exchange, attempt)
+            return await self._renew_during(exchange, attempt)
         finally:
             await self._end(exchange, attempt.reservations)
 
     async def _end(
         self,
-        exchange: asyncio.Task[Outcome],
+        exchange: asyncio.Task[_SendResult],
         reservations: tuple[Reservation, ...],
     ) -> None:
-        """End an exchange and release what was reserved for it.
+        """End an exchange and release its reservations.
 
-        A caller that has the last event closes its connection, which cancels
-        this in the midst of the waiting; the release must not depend on it, or
-        each such stream held memory for nobody until it lapsed 2.5 s later.
+        A caller that has received the last event closes its connection, which
+        may cancel this coroutine while it waits.  The reservations must be
+        released even so: otherwise the memory of every such stream would be
+        held without use until it lapsed 2.5 s later.
         """
         try:
             if not exchange.done():
@@ -155,46 +156,48 @@
         finally:
             self._memory.release(reservations)
 
-    async def _keep_during(
+    async def _renew_during(
         self,
-        exchange: asyncio.Task[Outcome],
+        exchange: asyncio.Task[_SendResult],
         attempt: _Attempt,
-    ) -> Outcome:
-        """Keep reservations until the exchange ends or its engine is gone."""
-        keeping = asyncio.create_task(
+    ) -> _SendResult:
+        """Renew reservations until the exchange ends or its engine is lost."""
+        renewal = asyncio.create_task(
             self._memory.keep(attempt.reservations, attempt.placement.first),
         )
         try:
             await asyncio.wait(
-                (exchange, keeping),
+                (exchange, renewal),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            keeping.cancel()
+            renewal.cancel()
         if exchange.done():
             return exchange.result()
-        return Failure(AttemptFailure('the engine is gone', Ran.UNKNOWN))
+        return Failure(
+            AttemptFailure('the engine stopped responding', Ran.UNKNOWN)
+        )
 
-    def _watch_silence(
+    def _build_stall_check(
         self,
         attempt: _Attempt,
     ) -> Callable[[float], bool] | None:
-        """Prepare to tell which silence of an engine is too long."""
+        """Build the check of a silence in seconds, for resumable streams."""
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return None
         placement = attempt.placement
         endpoint = placement.first
 
-        def is_too_long(silent: float) -> bool:
-            self._watch.note_pause(attempt.call.service, endpoint, silent)
+        def is_stalled(silence: float) -> bool:
+            self._watch.note_pause(attempt.call.service, endpoint, silence)
             if self._watch.is_silent(endpoint):
                 return True
             work = self._ledger.sum_at(endpoint.name, monotonic())
-            return silent >= choose_stream_patience(placement, work)
+            return silence >= choose_stream_patience(placement, work)
 
-        return is_too_long
+        return is_stalled
 
-    async def _exchange(self, attempt: _Attempt) -> Outcome:
+    async def _exchange(self, attempt: _Attempt) -> _SendResult:
         call = attempt.call
         opened = await self._open(attempt)
         if isinstance(opened, Failure):
@@ -202,8 +205,8 @@
         answer = opened.unwrap()
         try:
             if call.kind.streams:
-                is_too_long = self._watch_silence(attempt)
-                return await _relay(attempt, answer, is_too_long)
+                is_stalled = self._build_stall_check(attempt)
+                return await _forward_stream(attempt, answer, is_stalled)
             collected = await collect(answer, call.deadline)
             return collected.map(lambda whole: whole.build_response())
         finally:
@@ -213,7 +216,7 @@
         self,
         attempt: _Attempt,
     ) -> Result[OpenAnswer, AttemptFailure]:
-        """Send a call, and wait for the head while its engine is there."""
+        """Send a call, and wait for the head while its engine responds."""
         call = attempt.call
         opening = self._client.open(
             call,
@@ -225,11 +228,11 @@
         )
         return await await_head(
             opening,
-            lambda waited: self._is_left(attempt, waited),
+            lambda waited: self._is_engine_lost(attempt, waited),
         )
 
-    def _is_left(self, attempt: _Attempt, waited: float) -> bool:
-        """Tell whether the engine of a stream that may go elsewhere is gone."""
+    def _is_engine_lost(self, attempt: _Attempt, waited: float) -> bool:
+        """Return whether a resumable stream must be sent to another engine."""
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return False
         placement = attempt.placement
@@ -237,26 +240,26 @@
         return self._watch.is_silent(placement.first)
 
     def _choose_head_deadline(self, attempt: _Attempt) -> float:
-        """Choose until when the head of the answer may take.
+        """Choose the monotonic time until which to wait for the head.
 
-        What may be repeated is tried elsewhere when its endpoint stays silent,
-        a plain call only if it can be; all else has until its deadline, as it
-        may be running.
+        A resumable stream is sent elsewhere when its endpoint stays silent, a
+        plain call only if a retry is possible.  All other calls may be running
+        and keep their deadline.
         """
         call = attempt.call
         if call.kind is CallKind.RESUMABLE_STREAM:
-            patience = choose_first_patience(attempt.placement)
-        elif self._may_go_elsewhere(call):
-            patience = choose_plain_patience(call)
+            timeout = choose_first_patience(attempt.placement)
+        elif self._may_be_retried(call):
+            timeout = choose_plain_patience(call)
         else:
             return call.deadline
-        return min(call.deadline, monotonic() + patience)
+        return min(call.deadline, monotonic() + timeout)
 
-    def _may_go_elsewhere(self, call: Call) -> bool:
-        """Tell whether a call that gets no answer could be sent once more.
+    def _may_be_retried(self, call: Call) -> bool:
+        """Return whether a call without an answer could be sent once more.
 
-        Under a load that makes every endpoint late the retries are soon spent;
-        to give an attempt up then would turn late answers into none.
+        Under a load that delays every endpoint the retry budget is soon spent;
+        giving up attempts then would turn late answers into missing ones.
         """
         return (
             call.kind.repeatable
@@ -265,17 +268,17 @@
         )
 
 
-async def _relay(
+async def _forward_stream(
     attempt: _Attempt,
     answer: OpenAnswer,
-    is_too_long: Callable[[float], bool] | None,
-) -> Outcome:
-    """Hand a stream on, event by event, to its end."""
+    is_stalled: Callable[[float], bool] | None,
+) -> _SendResult:
+    """Forward a stream event by event until it ends."""
     call, delivery = attempt.call, attempt.delivery
     delivery.cutter.restart()
     try:
         async with asyncio.timeout(call.remaining(monotonic())):
-            async for chunk in answer.read_chunks(is_too_long):
+            async for chunk in answer.read_chunks(is_stalled):
                 if await delivery.relay(answer, chunk):
                     attempt.account.end_prefill()
             return Success(await delivery.finish(answer))
@@ -286,5 +289,5 @@
         )
     except (aiohttp.ClientError, OSError, SequenceError) as error:
         return Failure(
-            AttemptFailure(f'the stream broke: {error!r}', Ran.YES),
+            AttemptFailure(f'the stream was interrupted: {error!r}', Ran.YES),
         )
