--- a/src/kelproad/coordination/ingress/accounting.py
+++ b/src/kelproad/coordination/ingress/accounting.py
@@ -1,4 +1,4 @@
-"""The work of one attempt in the ledger, from its sending to its end."""
+"""Work of one attempt in the ledger, for as long as it is in flight."""
 
 from ...state.calls import Call
 from ...state.work import EndpointWork, WorkLedger
@@ -8,7 +8,7 @@
 
 
 class AttemptAccount:
-    """Enters an attempt's work for the time of a ``with`` block."""
+    """Context manager that records the work of an attempt in the ledger."""
 
     def __init__(
         self,
@@ -16,12 +16,12 @@
         call: Call,
         placement: Placement,
     ) -> None:
-        """Account for a placement; nothing is entered yet."""
+        """Derive the work from a placement; nothing is recorded yet."""
         self._ledger = ledger
         first = placement.first.name
         reserved = sum(share.tokens for share in placement.shares)
         needed = call.head.prompt_tokens + call.head.answer_tokens
-        self._holding = [
+        self._held = [
             (
                 first,
                 EndpointWork(
@@ -42,28 +42,28 @@
             prefill_seconds=placement.part_seconds,
             helping=1,
         )
-        self._reading = [
+        self._prefills = [
             (endpoint.name, part)
             for endpoint in (placement.first, *placement.helpers)
         ]
-        self._reads = False
+        self._prefilling = False
 
     def __enter__(self) -> 'AttemptAccount':
-        """Enter the work."""
-        for name, work in (*self._holding, *self._reading):
+        """Record the work at all engines of the placement."""
+        for name, work in (*self._held, *self._prefills):
             self._ledger.begin(name, work)
-        self._reads = True
+        self._prefilling = True
         return self
 
     def __exit__(self, *_error: object) -> None:
-        """Take all of it out."""
+        """Remove all of it."""
         self.end_prefill()
-        for name, work in self._holding:
+        for name, work in self._held:
             self._ledger.end(name, work)
 
     def end_prefill(self) -> None:
-        """Take the reading out: the first token is there, or never will be."""
-        if self._reads:
-            self._reads = False
-            for name, work in self._reading:
+        """Remove the prefill: the first token has come, or never will."""
+        if self._prefilling:
+            self._prefilling = False
+            for name, work in self._prefills:
                 self._ledger.end(name, work)
--- a/src/kelproad/coordination/ingress/admitting.py
+++ b/src/kelproad/coordination/ingress/admitting.py
@@ -1,6 +1,6 @@
-"""Admitting calls: route, workspace, time left before a stop, body, deadline.
+"""Admission of calls: route, workspace, remaining time, deadline, body.
 
-Whatever is not admitted has not run and never will.
+A call that is not admitted has not run and never will.
 """
 
 import asyncio
@@ -22,23 +22,23 @@
 
 __all__ = ['Admitter']
 
-#: Seconds for a call whose caller names no deadline and whose route has none.
+#: Seconds for a call if neither its caller nor its route sets a deadline.
 _DEFAULT_SECONDS = 60.0
-#: Seconds before the caller's own deadline at which it gets an answer: the
-#: way back takes 3 ms, and the call was sent before it arrived here.
+#: Seconds before the caller's deadline at which a call ends here: the way back
+#: takes 3 ms, and the call was sent before it arrived.
 _CALLER_MARGIN = 0.04
-#: Share of the time in which a key must be revoked for which a configuration
-#: that was not confirmed is trusted; the rest is for the call's own way.
+#: Share of the bound for revoking a key for which a configuration is trusted
+#: without confirmation; the rest covers the way of the call.
 _TRUSTED_SHARE = 0.7
-#: Seconds after which a caller should come back while no instance has a current
+#: Seconds after which a caller should retry while no instance has a current
 #: configuration: most outages of the store last some seconds.
 _UNCONFIRMED_RETRY = 1.0
-#: Bytes of a header field beside its name and text.
+#: Bytes of a header field in addition to name and text: separators, line end.
 _FIELD_BYTES = 4
 
 
 class Admitter:
-    """Admits calls by the configuration in force."""
+    """Decides which calls are admitted, and receives their bodies."""
 
     def __init__(
         self,
@@ -51,8 +51,8 @@
     ) -> None:
         """Admit by the configuration in force.
 
-        ``measure_age`` tells how many seconds old it may be, and
-        ``is_confirmed_elsewhere`` whether another instance knows better.
+        ``measure_age`` returns its possible age in seconds, and
+        ``is_confirmed_elsewhere`` whether another instance has a current one.
         """
         self._holder = holder
         self._measure_age = measure_age
@@ -63,10 +63,10 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether the keys known here may still be relied on.
+        """Whether the keys of the configuration may still be relied on.
 
-        A key that was taken away must not work anywhere after a bound, also
-        where the store cannot be reached.
+        A revoked key must not work anywhere after a bounded time, even where
+        the store cannot be reached.
         """
         trusted_for = self._read_bounds().revoke_key * _TRUSTED_SHARE
         return self._measure_age() < trusted_for
@@ -77,7 +77,7 @@
         http_request: web.Request,
         arrived: float,
     ) -> Result[Call, Refusal]:
-        """Find route and workspace, and read the body."""
+        """Find route and workspace, check the time left and read the body."""
         configuration = self._holder.current
         if configuration is None:
             return Failure(self._refuse_unconfirmed('no configuration yet'))
@@ -86,7 +86,7 @@
         route = configuration.find_route(head.host, head.path)
         if route is None:
             return Failure(self._refuse_unknown(RefusalCode.NOT_FOUND))
-        identified = self._identify(configuration, route, head)
+        identified = self._find_workspace(configuration, route, head)
         if isinstance(identified, Failure):
             return identified
         service = self._choose_service(route)
@@ -111,7 +111,7 @@
             ),
         )
 
-    def _identify(
+    def _find_workspace(
         self,
         configuration: RoutingConfiguration,
         route: Route,
@@ -128,10 +128,10 @@
         return Success(workspace)
 
     def _refuse_unknown(self, code: RefusalCode) -> Refusal:
-        """Refuse what the configuration doesn't have, if it is a fresh one.
+        """Refuse a route or key that the configuration doesn't have.
 
-        A newer configuration may have it; only one that was confirmed lately
-        permits to say no for good.
+        A newer configuration may have it, so the refusal is final only if the
+        configuration was confirmed lately.
         """
         age = self._measure_age()
         if age > self._read_bounds().apply_configuration:
@@ -141,10 +141,10 @@
         return Refusal(code, 'not configured', Step.AUTHENTICATE)
 
     def _refuse_unconfirmed(self, message: str) -> Refusal:
-        """Refuse for want of a current configuration.
+        """Refuse because there is no current configuration.
 
-        Callers come back by another instance, so where one knows better they
-        should do so at once, within their objective.
+        Callers retry at another instance, so if one has a current configuration
+        they should do so at once, within their objective.
         """
         elsewhere = self._is_confirmed_elsewhere(monotonic())
         return Refusal(
@@ -155,7 +155,7 @@
         )
 
     def _choose_service(self, route: Route) -> str:
-        """Draw the service by the weights of the route."""
+        """Choose a service at random, by the weights of the route."""
         chosen = self._generator.choices(
             route.services,
             weights=[service.weight for service in route.services],
@@ -164,7 +164,7 @@
 
 
 def _measure_head(http_request: web.Request) -> int:
-    """Measure the bytes of the head as it was sent, about."""
+    """Measure the approximate bytes of the head as it was sent."""
     fields = sum(
         len(name) + len(text) + _FIELD_BYTES
         for name, text in http_request.raw_headers
@@ -193,7 +193,7 @@
     configuration: RoutingConfiguration,
     deadline: float,
 ) -> Result[bytes, Refusal]:
-    """Read the body whole, before anything is sent on."""
+    """Read the complete body, before anything is forwarded."""
     limit = configuration.limits.max_body_bytes
     try:
         async with within(deadline):
@@ -202,7 +202,7 @@
         return Failure(
             Refusal(
                 RefusalCode.NO_CAPACITY,
-                'the body did not come in time',
+                'the body did not arrive in time',
                 Step.RECEIVE,
             ),
         )
--- a/src/kelproad/coordination/ingress/delivery.py
+++ b/src/kelproad/coordination/ingress/delivery.py
@@ -1,4 +1,4 @@
-"""Handing the events of a stream to its caller, over one attempt or more."""
+"""Delivery of a stream to its caller, over one or more attempts."""
 
 from aiohttp import web
 from multidict import CIMultiDict
@@ -18,20 +18,21 @@
 
 
 class StreamDelivery:
-    """Hands the events of one or more attempts to the caller, in order.
+    """Forwards the events of one or more attempts to the caller, in order.
 
     Attributes
     ----------
     cutter
-        Cuts and checks events; knows the last one that the caller has.
+        Splits the bytes into events, checks their order and knows the last one.
     first_at
         Monotonic time of the first event, ``None`` before it.
     longest_gap, gap_ended_at
-        Seconds of the longest pause between events, and when it ended.
+        Seconds of the longest gap between events, and monotonic time of its
+        end.
     """
 
     def __init__(self, http_request: web.BaseRequest, call: Call) -> None:
-        """Send nothing before the first event."""
+        """Prepare the delivery; nothing is sent before the first event."""
         self._http_request = http_request
         self._response: web.StreamResponse | None = None
         self.cutter = EventCutter(call.head.resume_after)
@@ -42,23 +43,23 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has got anything."""
+        """Whether the answer has begun, so that no other one may follow."""
         return self._response is not None
 
     async def relay(self, answer: OpenAnswer, chunk: bytes) -> int:
-        """Hand on the events that bytes complete; return how many.
+        """Forward the events that ``chunk`` completes; return their number.
 
         Raises
         ------
         SequenceError
-            When the bytes are not the events that follow.
+            When the bytes are not the events that come next.
         CallerLeftError
-            When the caller is gone.
+            When the caller has disconnected.
         """
         events = self.cutter.feed(chunk)
         if not events:
             return 0
-        self._note_event(monotonic())
+        self._record_event(monotonic())
         try:
             if self._response is None:
                 await self._prepare(answer.head)
@@ -70,7 +71,7 @@
         return len(events)
 
     async def finish(self, answer: OpenAnswer) -> web.StreamResponse:
-        """End the answer, whose body came to its end."""
+        """End the answer to the caller after the end of the endpoint's body."""
         if self.cutter.within_event:
             raise SequenceError('the stream ends within an event')
         try:
@@ -82,13 +83,13 @@
         return self._response
 
     def abort(self) -> web.StreamResponse:
-        """Break the answer off, so that it can't look complete."""
+        """Abort the connection, so that the answer can't look complete."""
         transport = self._http_request.transport
         if transport is not None:
             transport.abort()
         return self._response
 
-    def _note_event(self, now: float) -> None:
+    def _record_event(self, now: float) -> None:
         if self.first_at is None:
             self.first_at = now
         elif now - self._last_at > self.longest_gap:
@@ -99,8 +100,8 @@
     async def _prepare(self, head: AnswerHead) -> None:
         """Begin the answer.
 
-        It counts as begun before its head is written: what is interrupted
-        after that must not be answered a second time.
+        It counts as begun before its head is written: a call that is
+        interrupted after that must not be answered a second time.
         """
         self._response = web.StreamResponse(
             status=head.status,
--- a/src/kelproad/coordination/ingress/opening.py
+++ b/src/kelproad/coordination/ingress/opening.py
@@ -1,4 +1,4 @@
-"""Waiting for the head of an answer while its engine is there."""
+"""Wait for the head of an answer while its engine responds."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,33 +11,33 @@
 
 __all__ = ['abandon', 'await_head']
 
-#: Seconds between two looks whether a silent engine is still there.
-_LOOK_PERIOD = 0.1
+#: Seconds between two checks whether a silent engine still responds.
+_CHECK_PERIOD = 0.1
 
 _Opened = Result[OpenAnswer, AttemptFailure]
 
 
 async def await_head(
     opening: Coroutine[None, None, _Opened],
-    is_gone: Callable[[float], bool],
+    is_lost: Callable[[float], bool],
 ) -> _Opened:
-    """Wait for an answer that is being opened, or until its engine is gone.
+    """Wait for the head of an answer, or until its engine is lost.
 
     Parameters
     ----------
     opening
         Sends the call and reads the head of its answer.
-    is_gone
-        Tells whether the engine is gone, by the seconds waited so far.
+    is_lost
+        Returns whether the engine is lost, given the seconds waited so far.
     """
     task = asyncio.create_task(opening)
-    began = monotonic()
+    started_at = monotonic()
     try:
-        while not (await asyncio.wait((task,), timeout=_LOOK_PERIOD))[0]:
-            if is_gone(monotonic() - began):
+        while not (await asyncio.wait((task,), timeout=_CHECK_PERIOD))[0]:
+            if is_lost(monotonic() - started_at):
                 abandon(task)
                 return Failure(
-                    AttemptFailure('the engine is silent', Ran.UNKNOWN),
+                    AttemptFailure('the engine does not respond', Ran.UNKNOWN),
                 )
     except asyncio.CancelledError:
         abandon(task)
@@ -46,7 +46,7 @@
 
 
 def abandon(task: asyncio.Task[_Opened]) -> None:
-    """Stop waiting for an answer, and close one that comes all the same."""
+    """Stop waiting for an answer, and close it if it comes nevertheless."""
     task.cancel()
     task.add_done_callback(_close_unused)
 
--- a/src/kelproad/coordination/ingress/patience.py
+++ b/src/kelproad/coordination/ingress/patience.py
@@ -1,4 +1,4 @@
-"""How long the silence of an endpoint is borne."""
+"""Timeouts for endpoints that stay silent."""
 
 import math
 
@@ -15,21 +15,21 @@
 
 #: Seconds without an event after which a running stream counts as stalled.
 _STALL_SECONDS = 1.2
-#: Times the predicted prefill for which an engine's silence is borne, and the
-#: seconds after which callers leave in any case.
+#: Multiple of the predicted prefill for which an engine's silence is tolerated,
+#: and the seconds after which callers disconnect in any case.
 _PREFILL_RATIO = 1.5
-_LONGEST_STALL = 1.9
-#: Least seconds that an engine has for its first event, and how many times
-#: what was predicted, before the call is tried elsewhere.
+_MAX_STALL_SECONDS = 1.9
+#: Seconds that an engine always has for its first event, and the multiple of
+#: the predicted time added to them, before the call is sent elsewhere.
 _FIRST_EVENT_SECONDS = 1.0
 _FIRST_EVENT_RATIO = 4.0
-#: Times its objective for which a plain endpoint may stay silent before it
-#: counts as failing, and a call that may be repeated is tried elsewhere.
-_SILENT_OBJECTIVES = 1.5
+#: Multiple of the objective for which a plain endpoint may stay silent before
+#: it counts as failing, and a repeatable call is sent elsewhere.
+_PLAIN_TIMEOUT_RATIO = 1.5
 
 
 def choose_first_patience(placement: Placement) -> float:
-    """Choose the seconds without a first event after which to leave."""
+    """Choose the seconds to wait for the first event of a stream."""
     return max(
         _STALL_SECONDS,
         _FIRST_EVENT_SECONDS + _FIRST_EVENT_RATIO * placement.predicted,
@@ -37,25 +37,25 @@
 
 
 def choose_stream_patience(placement: Placement, work: EndpointWork) -> float:
-    """Choose the seconds without an event after which to leave a stream.
+    """Choose the seconds to wait for the next event of a stream.
 
-    An engine that reads a long prompt is silent for that long; leaving it
-    would have the prompts of all its streams read again elsewhere.
+    An engine that prefills a long prompt is silent for that long; giving it up
+    would make other engines prefill the prompts of all its streams again.
     """
-    reading = _PREFILL_RATIO * work.prefill_seconds
-    borne = min(_STALL_SECONDS / 2 + reading, _LONGEST_STALL)
-    return max(choose_first_patience(placement), borne)
+    prefill = _PREFILL_RATIO * work.prefill_seconds
+    tolerated = min(_STALL_SECONDS / 2 + prefill, _MAX_STALL_SECONDS)
+    return max(choose_first_patience(placement), tolerated)
 
 
 def choose_plain_patience(call: Call) -> float:
-    """Choose the seconds after which a plain call is tried elsewhere."""
-    return call.route.objective * _SILENT_OBJECTIVES
+    """Choose the seconds after which a plain call is sent elsewhere."""
+    return call.route.objective * _PLAIN_TIMEOUT_RATIO
 
 
 def choose_blame(call: Call) -> float:
-    """Choose the seconds of silence that say something of the endpoint.
+    """Choose the seconds of silence that count as a fault of the endpoint.
 
-    Engines that are late may be so by their load, which is no failure; callers
-    choose deadlines, and very short ones must not take endpoints out.
+    Engines may miss a deadline because of their load, which is no failure.
+    Callers choose deadlines, and very short ones must not eject endpoints.
     """
     return math.inf if call.kind.streams else choose_plain_patience(call)
--- a/src/kelproad/coordination/ingress/sharing.py
+++ b/src/kelproad/coordination/ingress/sharing.py
@@ -1,8 +1,8 @@
-"""How many calls may be sent to a second endpoint, over all instances.
+"""Limits on retries at other endpoints, shared by all instances.
 
-Without a bound, failing endpoints multiply the load on those that are left.
-The operators bound the retries of all instances together; each instance takes
-its part of what is free for all, and a share of its own calls.
+Without a limit, failing endpoints multiply the load on the remaining ones.  The
+operators limit the retries of all instances together: each instance may use its
+part of the fixed allowance, and a share of the calls that it receives.
 """
 
 from collections.abc import Callable
@@ -12,45 +12,45 @@
 
 __all__ = ['SharedRetries']
 
-#: Part of the permitted retries that is used: the window slides and a call may
-#: arrive in another one than its retry.
-_USED_PART = 0.7
-#: Instances assumed while it is not known how many there are.
-_LEAST_INSTANCES = 6
+#: Share of the permitted retries that is used: the operators' window slides, so
+#: a call and its retry may fall in different ones.
+_USED_SHARE = 0.7
+#: Instances assumed at least, as their number is not known at first.
+_MIN_INSTANCES = 6
 
 
 class SharedRetries:
-    """Retry budgets by service."""
+    """Retry budgets of this instance, one for each service."""
 
     def __init__(
         self,
         read_bounds: Callable[[], Bounds],
         count_live: Callable[[], int],
     ) -> None:
-        """Take an instance's part of the bounds."""
+        """Divide the bounds by the number of live instances."""
         self._read_bounds = read_bounds
         self._count_live = count_live
         self._budgets: dict[str, RetryBudget] = {}
 
     def count_call(self, service: str, now: float) -> None:
-        """Let a call earn its share of a retry."""
+        """Add the share of a retry that a call earns."""
         self._find(service).earn(now)
 
     def affords(self, service: str) -> bool:
-        """Tell whether a retry would be permitted now."""
+        """Return whether a retry would be permitted now; spend none."""
         return self._find(service).affords_one
 
     def spend(self, service: str) -> bool:
-        """Take a retry out, if there is one."""
+        """Spend a retry, or return false if none is left."""
         return self._find(service).spend()
 
     def _find(self, service: str) -> RetryBudget:
-        instances = max(_LEAST_INSTANCES, self._count_live())
+        instances = max(_MIN_INSTANCES, self._count_live())
         bounds = self._read_bounds()
-        burst = bounds.retry_slack * _USED_PART / instances
+        burst = bounds.retry_slack * _USED_SHARE / instances
         budget = self._budgets.get(service)
         if budget is None:
-            percent = 100 * bounds.retry_ratio * _USED_PART
+            percent = 100 * bounds.retry_ratio * _USED_SHARE
             budget = RetryBudget(percent, burst)
             self._budgets[service] = budget
         budget.burst = burst
--- a/src/kelproad/coordination/ingress/spillover.py
+++ b/src/kelproad/coordination/ingress/spillover.py
@@ -1,10 +1,10 @@
-"""Engines of other zones, for calls that the own zone's engines can't take.
+"""Work at engines of other zones, for calls that the local zone can't accept.
 
-Where there are many instances, each zone knows exactly what is in flight at its
-own engines only.  An instance that needs another zone's engines asks one of the
-instances there, which takes some 11 ms and, in the rare case, a datagram of a
-few kilobytes, where telling everybody everything all the time would be most of
-what crosses zones.
+Where there are many instances, each zone knows the exact work in flight at its
+own engines only.  An instance that needs engines of another zone queries one of
+the instances there.  That takes some 11 ms and a datagram of a few kilobytes in
+the rare case; reporting all work to all instances all the time would make up
+most of the traffic between zones.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 
 __all__ = ['ZoneSpillover', 'answer_work']
 
-#: Seconds for an answer.  Without one the zone is not used this time.
-_ANSWER_SECONDS = 0.05
-#: Seconds after which a zone is asked again, while a call waits.
-_ASK_PERIOD = 0.1
-#: Seconds for which an answer holds: work lasts a few times that.
-_KNOWN_SECONDS = 0.25
+#: Seconds for a reply.  Without one the zone is not used for the call.
+_REPLY_TIMEOUT = 0.05
+#: Seconds between two queries to the other zones, while a call waits.
+_QUERY_PERIOD = 0.1
+#: Seconds for which a reply is used: work lasts a few times that.
+_VALID_SECONDS = 0.25
 
 
 class ZoneSpillover:
-    """Knows what is in flight at the engines of other zones when needed."""
+    """Keeps the work at engines of other zones known when it is needed."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         observations: EngineObservations,
         generator: random.Random,
     ) -> None:
-        """Ask for an instance of a zone, and enter what is told."""
+        """Query other zones for an instance that runs in ``zone``."""
         self._zone = zone
         self._queries = queries
         self._peers = peers
@@ -50,53 +50,53 @@
         self._ledger = ledger
         self._observations = observations
         self._generator = generator
-        self._asked_at = float('-inf')
+        self._queried_at = float('-inf')
         self._known_at: dict[str, float] = {}
-        self._asking: asyncio.Task[None] | None = None
+        self._refresh_task: asyncio.Task[None] | None = None
 
     @property
     def is_needed(self) -> bool:
-        """Whether other zones don't tell this one of their work anyway."""
+        """Whether instances of other zones don't report their work anyway."""
         return not self._peers.all_told
 
     def knows(self, zone: str, now: float) -> bool:
-        """Tell whether the work at the engines of a zone is known here."""
+        """Return whether the work at the engines of a zone is known."""
         if zone == self._zone or not self.is_needed:
             return True
-        return now - self._known_at.get(zone, float('-inf')) < _KNOWN_SECONDS
+        return now - self._known_at.get(zone, float('-inf')) < _VALID_SECONDS
 
     async def refresh(self) -> None:
-        """Ask the other zones, unless that has just been done."""
-        if self._asking is None:
-            if monotonic() - self._asked_at < _ASK_PERIOD:
+        """Query the other zones, unless that has just been done."""
+        if self._refresh_task is None:
+            if monotonic() - self._queried_at < _QUERY_PERIOD:
                 return
-            self._asked_at = monotonic()
-            self._asking = asyncio.create_task(self._ask_all())
-        await asyncio.shield(self._asking)
+            self._queried_at = monotonic()
+            self._refresh_task = asyncio.create_task(self._query_zones())
+        await asyncio.shield(self._refresh_task)
 
-    async def _ask_all(self) -> None:
+    async def _query_zones(self) -> None:
         try:
             await asyncio.gather(
                 *(
-                    self._ask(zone, members)
+                    self._query(zone, members)
                     for zone, members in self._peers.list_far_hosts().items()
                     if not self._reach.is_doubtful(zone, monotonic())
                 ),
             )
         finally:
-            self._asking = None
+            self._refresh_task = None
 
-    async def _ask(self, zone: str, hosts: list[str]) -> None:
+    async def _query(self, zone: str, hosts: list[str]) -> None:
         host = self._generator.choice(hosts)
-        answer = await self._queries.ask(WorkQuery, host, _ANSWER_SECONDS)
-        if not isinstance(answer, WorkReply):
+        reply = await self._queries.ask(WorkQuery, host, _REPLY_TIMEOUT)
+        if not isinstance(reply, WorkReply):
             return
         now = monotonic()
         self._known_at[zone] = now
-        # The work of a whole zone stands in the ledger like that of a peer.
-        self._ledger.accept_peer(f'zone {zone}', read_work(answer.work), now)
-        self._observations.accept_refusing(answer.refusing, now)
-        self._observations.accept_slow(answer.slow, zone, now)
+        # The ledger holds the work of a whole zone like that of one peer.
+        self._ledger.accept_peer(f'zone {zone}', read_work(reply.work), now)
+        self._observations.accept_refusing(reply.refusing, now)
+        self._observations.accept_slow(reply.slow, zone, now)
 
 
 def answer_work(
@@ -107,18 +107,20 @@
     peers: PeerRegister,
     observations: EngineObservations,
 ) -> WorkReply:
-    """Reply what is in flight at the engines of a zone."""
+    """Build the reply with the work in flight at the engines of a zone."""
     now = monotonic()
     known = ledger.sum_without(peers.list_in_zone(query.zone), now)
-    here = {
+    work_here = {
         name: work
         for name, work in known.items()
         if table.find_zone(name) == zone
     }
-    slowdowns = {name: observations.find_slowdown(name, now) for name in here}
+    slowdowns = {
+        name: observations.find_slowdown(name, now) for name in work_here
+    }
     return WorkReply(
         query.token,
-        tell_work(here),
-        [name for name in here if observations.refuses_help(name, now)],
+        tell_work(work_here),
+        [name for name in work_here if observations.refuses_help(name, now)],
         {name: factor for name, factor in slowdowns.items() if factor > 1},
     )
--- a/src/kelproad/coordination/ingress/watching.py
+++ b/src/kelproad/coordination/ingress/watching.py
@@ -1,8 +1,9 @@
-"""Finding out that an engine works more slowly than published.
+"""Detection of engines that run more slowly than published.
 
-Nobody asks engines how they do while their events come as predicted.  One that
-is far behind is asked, and asked again each second until it is well; what it
-says is told to the other instances, so that one of them is enough to ask it.
+Engines are not queried while their events come as predicted.  One that falls
+far behind is queried, and again every second until it has recovered.  The
+result is reported to the other instances, so that one of them is enough to
+query it.
 """
 
 import asyncio
@@ -22,22 +23,22 @@
 __all__ = ['EngineWatch']
 
 _logger = logging.getLogger(__name__)
-#: Times its prediction, and seconds beyond that, after which a pass raises
-#: doubt: work that other instances sent meanwhile explains less.
-_DOUBT_RATIO = 1.6
-_DOUBT_SECONDS = 0.03
-#: Seconds between two questions to one engine.
+#: Multiple of its prediction, and seconds beyond that, after which a pass makes
+#: its engine suspect: work that other instances sent meanwhile explains less.
+_SUSPECT_RATIO = 1.6
+_SUSPECT_SECONDS = 0.03
+#: Seconds between two queries to one engine.
 _ASK_PERIOD = 1.0
-#: Times the published seconds from which on an engine counts as slow.
-_SLOW = 1.2
-#: Questions in a row without an answer after which an engine counts as gone,
-#: and after which it is not asked any more.
-_SILENT_ASKS = 2
+#: Multiple of the published time from which on an engine counts as slow.
+_SLOW_FACTOR = 1.2
+#: Queries in a row without an answer after which an engine counts as lost, and
+#: after which it is no longer queried.
+_SILENT_QUERIES = 2
 _MOST_ASKS = 8
 
 
 class EngineWatch:
-    """Asks engines that fall behind how slow they are."""
+    """Queries engines that fall behind for their slowdown."""
 
     def __init__(
         self,
@@ -47,17 +48,17 @@
         observations: EngineObservations,
         read_slowdown: Callable[[str], Awaitable[Result[float, str]]],
     ) -> None:
-        """Note in observations what engines say to this instance.
+        """Record the slowdowns of engines in ``observations``.
 
-        ``read_slowdown`` asks the engine at an address how many times the
-        published seconds it takes.
+        ``read_slowdown`` queries the engine at an address for the factor by
+        which it takes longer than published.
         """
         self._instance = instance
         self._holder = holder
         self._ledger = ledger
         self._observations = observations
         self._read_slowdown = read_slowdown
-        self._inquiries: dict[str, asyncio.Task[None]] = {}
+        self._polls: dict[str, asyncio.Task[None]] = {}
 
     def note_pause(
         self,
@@ -65,7 +66,7 @@
         endpoint: Endpoint,
         seconds: float,
     ) -> None:
-        """Note a pause of a stream, and ask its engine if that is too long."""
+        """Check a stall of a stream, and query its engine if it is too long."""
         profile = self._holder.current.find_profile(service)
         if profile is None:
             return
@@ -81,52 +82,54 @@
         seconds: float,
         expected: float,
     ) -> None:
-        """Note how long an engine took, and ask it if that is too long."""
-        too_long = expected * _DOUBT_RATIO + _DOUBT_SECONDS
-        if seconds > too_long and endpoint.name not in self._inquiries:
-            inquiry = asyncio.create_task(self._inquire(endpoint))
-            self._inquiries[endpoint.name] = inquiry
+        """Check how long an engine took, and query it if that is too long."""
+        too_long = expected * _SUSPECT_RATIO + _SUSPECT_SECONDS
+        if seconds > too_long and endpoint.name not in self._polls:
+            poll = asyncio.create_task(self._poll(endpoint))
+            self._polls[endpoint.name] = poll
 
     def is_silent(self, endpoint: Endpoint) -> bool:
-        """Tell whether an engine doesn't answer any more."""
+        """Return whether an engine did not answer lately."""
         return self._observations.is_silent(endpoint.name, monotonic())
 
-    async def _inquire(self, endpoint: Endpoint) -> None:
-        """Ask an engine until it is as fast as published again."""
-        silent = 0
+    async def _poll(self, endpoint: Endpoint) -> None:
+        """Query an engine until it is as fast as published again."""
+        unanswered = 0
         try:
-            while silent < _MOST_ASKS:
+            while unanswered < _MOST_ASKS:
                 answered = await self._read_slowdown(
                     endpoint.declaration.address,
                 )
                 if isinstance(answered, Failure):
-                    silent += 1
-                    self._note_silence(endpoint, silent)
+                    unanswered += 1
+                    self._record_silence(endpoint, unanswered)
                     continue
-                silent = 0
+                unanswered = 0
                 self._observations.note_answer(endpoint.name)
-                self._note(endpoint, answered.unwrap())
+                self._record_slowdown(endpoint, answered.unwrap())
                 await asyncio.sleep(_ASK_PERIOD)
-                if answered.unwrap() < _SLOW or self._is_watched(endpoint):
+                if answered.unwrap() < _SLOW_FACTOR or self._is_polled_by_peer(
+                    endpoint
+                ):
                     return
         finally:
-            self._inquiries.pop(endpoint.name, None)
+            self._polls.pop(endpoint.name, None)
 
-    def _note_silence(self, endpoint: Endpoint, silent: int) -> None:
-        if silent == _SILENT_ASKS:
+    def _record_silence(self, endpoint: Endpoint, unanswered: int) -> None:
+        if unanswered == _SILENT_QUERIES:
             record(_logger, 'engine_silent', endpoint=endpoint.name)
-        if silent >= _SILENT_ASKS:
+        if unanswered >= _SILENT_QUERIES:
             self._observations.note_silence(endpoint.name, monotonic())
 
-    def _is_watched(self, endpoint: Endpoint) -> bool:
-        """Tell whether a peer of an earlier name asks the engine."""
+    def _is_polled_by_peer(self, endpoint: Endpoint) -> bool:
+        """Return whether a peer with an earlier name queries the engine."""
         watcher = self._observations.find_watcher(endpoint.name, monotonic())
         return bool(watcher) and watcher < self._instance
 
-    def _note(self, endpoint: Endpoint, slowdown: float) -> None:
+    def _record_slowdown(self, endpoint: Endpoint, slowdown: float) -> None:
         now = monotonic()
         known = self._observations.find_slowdown(endpoint.name, now)
-        slow = slowdown >= _SLOW
+        slow = slowdown >= _SLOW_FACTOR
         self._observations.note_slowdown(
             endpoint.name,
             slowdown if slow else 1,
