--- a/src/kelproad/coordination/ingress/delivery.py
+++ b/src/kelproad/coordination/ingress/delivery.py
@@ -23,7 +23,7 @@
     Attributes
     ----------
     cutter
-        Splits the bytes into events, checks their order and knows the last one.
+        Splits bytes into events, checks their order, keeps the last number.
     first_at
         Monotonic time of the first event, ``None`` before it.
     longest_gap, gap_ended_at
--- a/src/kelproad/coordination/ingress/opening.py
+++ b/src/kelproad/coordination/ingress/opening.py
@@ -1,4 +1,4 @@
-"""Wait for the head of an answer while its engine responds."""
+"""Waiting for the head of an answer while its engine responds."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -25,8 +25,8 @@
 #: Parts of one prompt at most: an engine accepts 16 helpers.
 MOST_PARTS = 17
 #: Share of the rest of its objective for which a prompt may be prefilled where
-#: it disrupts streams in any case: nearly all, as every further engine stalls
-#: the streams that it decodes.
+#: it disrupts streams in any case: nearly all, as less time takes more engines,
+#: and each one stalls the streams that it decodes.
 FORCED_SHARE = 0.85
 #: Prompt tokens that justify one stream with too long a stall.
 TOKENS_PER_STREAM = 12_000
@@ -43,7 +43,7 @@
     share: float,
     profile: EngineProfile,
 ) -> list[Candidate]:
-    """Choose the fewest engines that need not disrupt streams, or none."""
+    """Choose the fewest engines that prefill without disruption, or none."""
     prefill_seconds = profile.predict_prefill(need.prompt_tokens)
     ranked = sorted(
         (
--- a/src/kelproad/coordination/ingress/placing.py
+++ b/src/kelproad/coordination/ingress/placing.py
@@ -122,8 +122,8 @@
     Raises
     ------
     Unplaced
-        When no engine has room, or when the prefill would disrupt streams at
-        those that have and the call has time to wait.
+        When no engine has room, or when those that have are too busy for the
+        prefill and the call has time to wait.
     """
     with_slot = [
         candidate
@@ -179,7 +179,7 @@
     need: Need,
     profile: EngineProfile,
 ) -> list[Candidate]:
-    """Choose engines for a prompt that would disrupt streams to be in time.
+    """Choose engines for a prompt that would disrupt streams now.
 
     It waits at first, and then disrupts streams if it can still meet its
     objective.  A prompt that misses the objective in any case waits longer, for
@@ -193,7 +193,7 @@
     """
     if need.may_wait:
         raise Unplaced(
-            'prefill would disrupt running streams', worth_waiting=True
+            'engines are too busy for the prefill', worth_waiting=True
         )
     late = need.when_late()
     chosen = choose_forced(helpers, need, profile) or choose_harmless(
@@ -206,7 +206,7 @@
         return chosen
     if need.may_wait_late:
         raise Unplaced(
-            'prefill would disrupt running streams', worth_waiting=True
+            'engines are too busy for the prefill', worth_waiting=True
         )
     chosen = choose_forced(helpers, late, profile)
     if chosen:
--- a/src/kelproad/coordination/ingress/sending.py
+++ b/src/kelproad/coordination/ingress/sending.py
@@ -182,7 +182,7 @@
         self,
         attempt: _Attempt,
     ) -> Callable[[float], bool] | None:
-        """Build the check of a silence in seconds, for resumable streams."""
+        """Build the stall check of a resumable stream, ``None`` for others."""
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return None
         placement = attempt.placement
--- a/src/kelproad/coordination/ingress/sharing.py
+++ b/src/kelproad/coordination/ingress/sharing.py
@@ -12,8 +12,8 @@
 
 __all__ = ['SharedRetries']
 
-#: Share of the permitted retries that is used: the operators' window slides, so
-#: a call and its retry may fall in different ones.
+#: Share of the permitted retries that is used: operators count in a sliding
+#: window, so a call and its retry may fall in different ones.
 _USED_SHARE = 0.7
 #: Instances assumed at least, as their number is not known at first.
 _MIN_INSTANCES = 6
--- a/src/kelproad/coordination/ingress/spillover.py
+++ b/src/kelproad/coordination/ingress/spillover.py
@@ -30,7 +30,7 @@
 
 
 class ZoneSpillover:
-    """Keeps the work at engines of other zones known when it is needed."""
+    """On-demand queries of the work at engines of other zones."""
 
     def __init__(
         self,
@@ -88,15 +88,15 @@
 
     async def _query(self, zone: str, hosts: list[str]) -> None:
         host = self._generator.choice(hosts)
-        reply = await self._queries.ask(WorkQuery, host, _REPLY_TIMEOUT)
-        if not isinstance(reply, WorkReply):
+        answer = await self._queries.ask(WorkQuery, host, _REPLY_TIMEOUT)
+        if not isinstance(answer, WorkReply):
             return
         now = monotonic()
         self._known_at[zone] = now
         # The ledger holds the work of a whole zone like that of one peer.
-        self._ledger.accept_peer(f'zone {zone}', read_work(reply.work), now)
-        self._observations.accept_refusing(reply.refusing, now)
-        self._observations.accept_slow(reply.slow, zone, now)
+        self._ledger.accept_peer(f'zone {zone}', read_work(answer.work), now)
+        self._observations.accept_refusing(answer.refusing, now)
+        self._observations.accept_slow(answer.slow, zone, now)
 
 
 def answer_work(
@@ -110,17 +110,15 @@
     """Build the reply with the work in flight at the engines of a zone."""
     now = monotonic()
     known = ledger.sum_without(peers.list_in_zone(query.zone), now)
-    work_here = {
+    here = {
         name: work
         for name, work in known.items()
         if table.find_zone(name) == zone
     }
-    slowdowns = {
-        name: observations.find_slowdown(name, now) for name in work_here
-    }
+    slowdowns = {name: observations.find_slowdown(name, now) for name in here}
     return WorkReply(
         query.token,
-        tell_work(work_here),
-        [name for name in work_here if observations.refuses_help(name, now)],
+        tell_work(here),
+        [name for name in here if observations.refuses_help(name, now)],
         {name: factor for name, factor in slowdowns.items() if factor > 1},
     )
