--- a/src/kelproad/coordination/ingress/exchange.py
+++ b/src/kelproad/coordination/ingress/exchange.py
@@ -1,14 +1,15 @@
-"""Telling the other instances of work in flight, and hearing of theirs.
+"""Exchange of work in flight between instances, by datagram.
 
 An engine's own report is hundreds of milliseconds old; a call takes that
-long.  Each instance sends what it has in flight to all others of its zone by
-datagram, when it has changed and at most fifty times a second.
-
-Where other zones have few instances, those are told the same, more rarely the
-more there are.  Where they have many, telling each of them everything would
-make up most of what an instance does, and of the bytes between zones: they
-are told only of work at their own engines, so each zone knows its engines
-exactly, and asks another zone (``spillover.py``) when it needs that one's.
+long.  Each instance sends its work in flight to all others of its zone, when
+it has changed and at most fifty times a second.
+
+Where other zones have few instances, those receive the same reports, at
+intervals that grow with their number.  Where they have many, reporting
+everything to each of them would dominate an instance's load and the traffic
+between zones: they receive only the work at their own engines, so each zone
+knows its engines exactly, and queries another zone (``spillover.py``) when it
+needs that one's.
 """
 
 import asyncio
@@ -47,27 +48,27 @@
 __all__ = ['WorkExchange']
 
 _logger = logging.getLogger(__name__)
-#: Seconds between two datagrams to the same peers at the least; the first
-#: change after a pause is told at once.
+#: Least seconds between two datagrams to the same peers; the first change
+#: after a quiet period is sent at once.
 _SEND_PERIOD = 0.02
-#: Seconds after which unchanged work is told again, as a datagram may be lost:
-#: at the least, for each instance that is told, and at the most.  Work is
+#: Seconds after which unchanged work is sent again, as a datagram may be lost:
+#: the minimum, the share of each receiving instance, and the maximum.  Work is
 #: forgotten after 1.5 s, so one datagram may be lost.
-_REPEAT_PERIOD = 0.25
-_REPEAT_PERIOD_EACH = 0.012
-_LONGEST_REPEAT = 0.5
-#: Times that for an instance without work, of which nothing is forgotten; it
-#: counts as live for 3 s.
+_MIN_REPEAT_PERIOD = 0.25
+_REPEAT_PERIOD_PER_PEER = 0.012
+_MAX_REPEAT_PERIOD = 0.5
+#: Factor on these for an instance without work, of which nothing can be
+#: forgotten; it counts as live for 3 s.
 _IDLE_FACTOR = 2
-#: Seconds between changes told to other zones, for each instance there, and at
-#: the most.
-_FAR_SEND_PERIOD = 0.0025
-_LONGEST_FAR_SEND = 0.25
+#: Seconds between changes sent to other zones: the share of each instance
+#: there, and the maximum.
+_REMOTE_SEND_PERIOD_PER_PEER = 0.0025
+_MAX_REMOTE_SEND_PERIOD = 0.25
 
 
 @attrs.define
 class _LastTold:
-    """What some peers were last told, and when."""
+    """The last report sent to some peers, and its monotonic time."""
 
     changes: object = None
     at: float = float('-inf')
@@ -79,9 +80,13 @@
         period: float,
         repeat: float,
     ) -> bool:
-        """Tell whether they are to be told again now, and note that."""
-        pause = repeat if changes == self.changes else period
-        if now - self.at < pause:
+        """Return whether a report is due now, and if so record it as sent.
+
+        ``period`` and ``repeat`` are the least seconds since the last report
+        if there are changes, and if there are none.
+        """
+        interval = repeat if changes == self.changes else period
+        if now - self.at < interval:
             return False
         self.changes = changes
         self.at = now
@@ -89,7 +94,7 @@
 
 
 class WorkExchange(BackgroundService):
-    """Sends own work, and takes in that of peers."""
+    """Reports local work to peers, and receives theirs."""
 
     abstract = False
 
@@ -104,11 +109,11 @@
         read_provenance: Callable[[], Provenance | None],
         find_zone: Callable[[str], str],
     ) -> None:
-        """Tell of a ledger's own work; enter that of peers and their signs.
+        """Report a ledger's local work; record the reports of peers.
 
-        ``measure_age`` tells how many seconds ago the configuration here was
-        confirmed, ``read_provenance`` where the tables come from, ``find_zone``
-        in which zone an endpoint stands.
+        ``measure_age`` returns how many seconds ago the configuration here was
+        confirmed, ``read_provenance`` the source of the tables, ``find_zone``
+        the zone in which an endpoint is located.
         """
         super().__init__()
         self._settings = settings
@@ -122,29 +127,29 @@
         self._socket = DatagramSocket(self.receive)
         self.peers = PeerRegister(settings, reach)
         self._sequence = 0
-        self._near_told = _LastTold()
-        self._far_told = _LastTold()
-        self._zones_told: dict[str, _LastTold] = {}
+        self._local_report = _LastTold()
+        self._remote_report = _LastTold()
+        self._zone_reports: dict[str, _LastTold] = {}
         self._changed = asyncio.Event()
         ledger.on_change = self._changed.set
         self.leaving = False
 
     async def on_start(self) -> None:
-        """Open the socket and greet the seeds."""
-        own = Address(self._settings.ip, self._settings.peer_port)
-        await self._socket.open(own)
+        """Open the socket and add the seeds as peers."""
+        address = Address(self._settings.ip, self._settings.peer_port)
+        await self._socket.open(address)
         for host in self._settings.seed_hosts:
             self.peers.introduce(host, host)
 
     async def on_stop(self) -> None:
-        """Tell peers that nothing is in flight here any more."""
+        """Send the departure message: nothing is in flight here any more."""
         self.leaving = True
-        near, far = self.peers.part()
-        self._send(itertools.chain(near, *far.values()), [])
+        local, remote = self.peers.part()
+        self._send(itertools.chain(local, *remote.values()), [])
         self._socket.close()
 
     def describe_own(self) -> Reader:
-        """Describe this instance as peers hear of it."""
+        """Describe this instance as its peers know it."""
         return Reader(
             self._settings.instance,
             self._settings.ip,
@@ -153,7 +158,7 @@
         )
 
     def receive(self, datagram: bytes) -> None:
-        """Take in what a peer tells."""
+        """Record a peer's report, unless it is unreadable or outdated."""
         decoded = decode_update(datagram)
         if isinstance(decoded, Failure):
             record(_logger, 'peer_update_unreadable', reason=decoded.failure())
@@ -176,61 +181,61 @@
     async def _tell(self) -> None:
         while not self.should_stop:
             changes = (self._ledger.changes, self._read_provenance())
-            all_know = self._tell_due(changes, monotonic())
+            all_sent = self._tell_due(changes, monotonic())
             await asyncio.sleep(_SEND_PERIOD)
-            if all_know:
+            if all_sent:
                 await self._await_change()
 
     def _tell_due(self, changes: object, now: float) -> bool:
-        """Tell those who are to be told something now.
+        """Send the reports that are due now.
 
         Returns
         -------
         bool
-            Whether everybody has been told of the changes.
+            Whether the changes have been sent to all peers.
         """
-        near, far = self.peers.part()
+        local, remote = self.peers.part()
         works = tell_work(self._ledger.own)
-        repeat = _choose_near_repeat(len(near), idle=not works)
-        if self._near_told.take_due(changes, now, 0, repeat):
-            self._send(near, works)
+        repeat = _choose_local_repeat(len(local), idle=not works)
+        if self._local_report.take_due(changes, now, 0, repeat):
+            self._send(local, works)
         if not self.peers.all_told:
-            self._tell_zones(far, works, now)
+            self._report_to_zones(remote, works, now)
             return True
-        others = list(itertools.chain(*far.values()))
+        others = list(itertools.chain(*remote.values()))
         periods = _choose_far_periods(len(others))
-        if self._far_told.take_due(changes, now, *periods):
+        if self._remote_report.take_due(changes, now, *periods):
             self._send(others, works)
-        return self._far_told.changes == changes
+        return self._remote_report.changes == changes
 
-    def _tell_zones(
+    def _report_to_zones(
         self,
-        far: dict[str, list[Peer]],
+        remote: dict[str, list[Peer]],
         works: list[ToldWork],
         now: float,
     ) -> None:
-        """Tell each zone of work at its engines, and that this one is alive."""
-        for zone, members in far.items():
-            told = [
+        """Report to each zone the work at its engines, or a sign of life."""
+        for zone, members in remote.items():
+            reported = [
                 work for work in works if self._find_zone(work.endpoint) == zone
             ]
-            last = self._zones_told.setdefault(zone, _LastTold([]))
-            # The end of all work is told to each of them as well.
-            concerned = bool(told or last.changes)
-            if not last.take_due(told, now, 0, _REPEAT_PERIOD):
+            last = self._zone_reports.setdefault(zone, _LastTold([]))
+            # The end of all work is reported to each of them as well.
+            concerned = bool(reported or last.changes)
+            if not last.take_due(reported, now, 0, _MIN_REPEAT_PERIOD):
                 continue
             if not concerned:
-                # The instances of this zone share those of the other one out,
-                # so that each of them hears from one here.
+                # The live instances here divide those of the other zone among
+                # themselves, so that each receives from one sender.
                 rank, count = self.peers.rank_own(now)
                 members = members[rank::count]
-            self._send(members, told)
+            self._send(members, reported)
 
     async def _await_change(self) -> None:
-        """Wait until the own work changes, or is to be told again."""
+        """Wait until the local work changes, or a repetition is due."""
         self._changed.clear()
         with contextlib.suppress(asyncio.TimeoutError):
-            async with asyncio.timeout(_REPEAT_PERIOD - _SEND_PERIOD):
+            async with asyncio.timeout(_MIN_REPEAT_PERIOD - _SEND_PERIOD):
                 await self._changed.wait()
 
     def _send(self, peers: Iterable[Peer], works: list[ToldWork]) -> None:
@@ -258,37 +263,40 @@
         )
 
     def _find_zone_reader(self, now: float) -> ZoneReader | None:
-        """Find who tells this zone its tables, for the other zones.
+        """Find the instance that serves tables here, to name it to other zones.
 
-        Where all instances hear each other, each says that of itself.
+        Not needed where all instances report to each other, as each then
+        advertises its own provenance.
         """
         if self.peers.all_told:
             return None
         others = self.peers.list_zone_peers(now)
-        telling = [
+        serving = [
             reader
             for reader in (self.describe_own(), *others)
             if reader.serves_zone
         ]
-        first = min(telling, key=lambda reader: reader.rank, default=None)
+        first = min(serving, key=lambda reader: reader.rank, default=None)
         if first is None:
             return None
         return ZoneReader(first.instance, first.host, first.provenance)
 
 
-def _choose_near_repeat(peers: int, idle: bool) -> float:
-    """Choose the seconds until the same is told to the own zone again."""
+def _choose_local_repeat(peers: int, idle: bool) -> float:
+    """Return the seconds until unchanged work is sent to the zone again."""
     factor = _IDLE_FACTOR if idle else 1
-    return _choose_repeat(peers * factor, _LONGEST_REPEAT * factor)
+    return _choose_repeat(peers * factor, _MAX_REPEAT_PERIOD * factor)
 
 
 def _choose_far_periods(peers: int) -> tuple[float, float]:
-    """Choose the seconds between changes, and until the same is told again."""
+    """Return the seconds between changes, and until a repetition."""
     return (
-        min(_LONGEST_FAR_SEND, peers * _FAR_SEND_PERIOD),
-        _choose_repeat(peers, _LONGEST_REPEAT),
+        min(_MAX_REMOTE_SEND_PERIOD, peers * _REMOTE_SEND_PERIOD_PER_PEER),
+        _choose_repeat(peers, _MAX_REPEAT_PERIOD),
     )
 
 
 def _choose_repeat(peers: int, longest: float) -> float:
-    return max(_REPEAT_PERIOD, min(longest, peers * _REPEAT_PERIOD_EACH))
+    return max(
+        _MIN_REPEAT_PERIOD, min(longest, peers * _REPEAT_PERIOD_PER_PEER)
+    )
--- a/src/kelproad/coordination/ingress/peers.py
+++ b/src/kelproad/coordination/ingress/peers.py
@@ -1,4 +1,4 @@
-"""The other instances as this one knows them: addresses, and what they said."""
+"""The other instances as this one knows them, from their own reports."""
 
 import collections
 import logging
@@ -18,12 +18,13 @@
 __all__ = ['CONFIRMED_SECONDS', 'MOST_TOLD_ALL', 'Peer', 'PeerRegister']
 
 _logger = logging.getLogger(__name__)
-#: Instances of other zones up to which each of them is told everything.
+#: Number of instances of other zones up to which each of them is sent
+#: everything.
 MOST_TOLD_ALL = 60
 #: Seconds without a datagram after which a peer no longer counts as live.
 _LIVE_SECONDS = 3.0
-#: Seconds since its confirmation for which the configuration of an instance
-#: counts as known: as long as it may be told on.
+#: Seconds after its confirmation for which the configuration of an instance
+#: counts as known: as long as it may be relayed.
 CONFIRMED_SECONDS = OLDEST_TOLD
 #: Seconds after which a silent peer that the store doesn't list is dropped.
 _DROP_SECONDS = 30.0
@@ -31,11 +32,11 @@
 
 @attrs.define
 class Peer:
-    """An instance that datagrams go to.
+    """An instance that datagrams are sent to.
 
-    ``order`` is that of the last datagram taken, as they may overtake;
-    ``confirmed_at`` is when its configuration was last confirmed.  ``zone`` is
-    empty until somebody says it.
+    ``order`` is that of the last datagram accepted, as datagrams may overtake
+    each other; ``confirmed_at`` is when its configuration was last confirmed.
+    ``zone`` is empty until the instance, or its row in the store, states it.
     """
 
     address: Address
@@ -46,11 +47,11 @@
     provenance: Provenance | None = None
 
     def is_live(self, now: float) -> bool:
-        """Tell whether it was heard lately."""
+        """Return whether a datagram from it was received lately."""
         return now - self.heard_at < _LIVE_SECONDS
 
     def describe(self, name: str) -> Reader:
-        """Describe it as one that may tell what the store holds."""
+        """Describe it as an instance that tables may be queried from."""
         return Reader(name, self.address.host, self.zone, self.provenance)
 
 
@@ -62,44 +63,46 @@
         self._settings = settings
         self._reach = reach
         self._peers: dict[str, Peer] = {}
-        #: Peers by zone, until one comes, goes or moves.
-        self._parted: dict[str, list[Peer]] | None = None
-        #: Who reads the store for another zone, as an instance there said.
+        #: Peers by zone; ``None`` after one was added, dropped or changed zone.
+        self._by_zone: dict[str, list[Peer]] | None = None
+        #: The reader of each other zone and the monotonic time of the report
+        #: of an instance there that named it.
         self._zone_readers: dict[str, tuple[Reader, float]] = {}
 
     def introduce(self, instance: str, host: str, zone: str = '') -> None:
-        """Send to an instance from now on."""
+        """Add an instance to those that datagrams are sent to."""
         if host == self._settings.ip or instance == self._settings.instance:
             return
         known = self._peers.get(instance)
         if known is None or known.address.host != host:
             address = Address(host, self._settings.peer_port)
             self._peers[instance] = Peer(address, zone=zone)
-            self._parted = None
+            self._by_zone = None
 
     def keep_listed(self, instances: set[str], now: float) -> None:
         """Drop silent peers that the store doesn't list."""
         for name in self._peers.keys() - instances:
             if now - self._peers[name].heard_at > _DROP_SECONDS:
                 self._peers.pop(name)
-                self._parted = None
+                self._by_zone = None
 
     def accept(self, update: PeerUpdate, now: float) -> bool:
-        """Take in what a peer says of itself, unless that is outdated.
+        """Record a peer's report, unless it is outdated.
 
         Returns
         -------
         bool
-            Whether it was taken in.
+            Whether it was recorded.
         """
         self.introduce(update.instance, update.host)
-        # A seed is known by its host until it says its name.
+        # A seed is known by its host until its first report names it.
         if self._peers.pop(update.host, None):
-            self._parted = None
+            self._by_zone = None
         peer = self._peers[update.instance]
         order = (update.started_at, update.sequence)
         # A clock that was set back over a restart must not silence the new
-        # life; after such a pause no datagram of the old one is under way.
+        # incarnation; after so long a silence no datagram of the old one is
+        # under way.
         silent = not peer.is_live(now)
         if order <= peer.order and not silent:
             return False
@@ -111,7 +114,7 @@
         peer.heard_at = float('-inf') if update.leaving else now
         if peer.zone != update.zone:
             peer.zone = update.zone
-            self._parted = None
+            self._by_zone = None
         peer.provenance = update.provenance
         if update.unconfirmed_for is not None:
             peer.confirmed_at = now - update.unconfirmed_for
@@ -126,20 +129,21 @@
         return True
 
     def part(self) -> tuple[list[Peer], dict[str, list[Peer]]]:
-        """Part peers into those of this zone or an unknown one, and others.
+        """Split peers into those of this zone and those of other zones.
 
         Returns
         -------
         tuple[list[Peer], dict[str, list[Peer]]]
-            Near ones, and the others by their zone, in the order of names.
+            Those of this zone or an unknown one, and the others by their zone,
+            sorted by name.
         """
-        if self._parted is None:
-            self._parted = collections.defaultdict(list)
+        if self._by_zone is None:
+            self._by_zone = collections.defaultdict(list)
             for _, peer in sorted(self._peers.items()):
-                self._parted[peer.zone].append(peer)
-        far = dict(self._parted)
-        near = [*far.pop('', ()), *far.pop(self._settings.zone, ())]
-        return near, far
+                self._by_zone[peer.zone].append(peer)
+        remote = dict(self._by_zone)
+        local = [*remote.pop('', ()), *remote.pop(self._settings.zone, ())]
+        return local, remote
 
     def rank_own(self, now: float) -> tuple[int, int]:
         """Rank this instance by name among the live ones of its zone.
@@ -147,7 +151,7 @@
         Returns
         -------
         tuple[int, int]
-            How many go before it, and how many there are.
+            Number of instances before it, and of all of them.
         """
         others = self.list_zone_peers(now)
         before = sum(
@@ -157,20 +161,20 @@
 
     @property
     def all_told(self) -> bool:
-        """Whether there are so few that each of them is told everything."""
-        _, far = self.part()
-        return sum(map(len, far.values())) <= MOST_TOLD_ALL
+        """Whether peers are few enough for a full mesh of reports."""
+        _, remote = self.part()
+        return sum(map(len, remote.values())) <= MOST_TOLD_ALL
 
     def list_far_hosts(self) -> dict[str, list[str]]:
         """List the IP numbers of the instances of other zones, by zone."""
-        _, far = self.part()
+        _, remote = self.part()
         return {
             zone: [peer.address.host for peer in members]
-            for zone, members in far.items()
+            for zone, members in remote.items()
         }
 
     def list_zone_peers(self, now: float) -> list[Reader]:
-        """List the other instances of this zone that were heard lately."""
+        """List the other live instances of this zone."""
         return [
             peer.describe(name)
             for name, peer in self._peers.items()
@@ -184,56 +188,56 @@
     def count_live(self, now: float) -> int:
         """Count the instances that are probably live, this one included.
 
-        Where not each of a zone sends here, those count that the store lists,
-        as long as the zone is heard.
+        Where not every instance of another zone reports to this one, all
+        listed instances of the zone count while any of them is received from.
         """
         if self.all_told:
             return 1 + sum(peer.is_live(now) for peer in self._peers.values())
-        near, far = self.part()
-        live = sum(peer.is_live(now) for peer in near)
-        heard = sum(
+        local, remote = self.part()
+        live = sum(peer.is_live(now) for peer in local)
+        reachable = sum(
             len(members)
-            for zone, members in far.items()
+            for zone, members in remote.items()
             if self._reach.is_heard(zone, now)
         )
-        return 1 + live + heard
+        return 1 + live + reachable
 
     def is_confirmed_elsewhere(self, now: float) -> bool:
-        """Tell whether another instance probably knows what holds.
+        """Return whether another instance probably has a fresh configuration.
 
-        Either one says so, or none of any other zone is heard any more, so that
-        it is this one, or its zone, that is cut off.
+        Either one reports so, or no other zone is received from any more, so
+        that it is this instance, or its zone, that is cut off.
         """
-        heard = [
+        received = [
             peer
             for peer in self._peers.values()
             if math.isfinite(peer.heard_at)
         ]
-        live = [peer for peer in heard if peer.is_live(now)]
+        live = [peer for peer in received if peer.is_live(now)]
         if not live:
-            return bool(heard)
+            return bool(received)
         newest = max(peer.confirmed_at for peer in live)
         if now - newest < CONFIRMED_SECONDS:
             return True
-        return self._is_zone_parted(heard, now)
+        return self._is_zone_isolated(received, now)
 
     def list_heard(self, now: float) -> list[Reader]:
-        """List the other instances that were heard, or heard of, lately."""
-        told_of = {
+        """List the live instances, and the readers of zones named lately."""
+        named = {
             reader.instance: reader
-            for reader, said_at in self._zone_readers.values()
-            if now - said_at < _LIVE_SECONDS
+            for reader, named_at in self._zone_readers.values()
+            if now - named_at < _LIVE_SECONDS
         }
-        heard = {
+        live = {
             name: peer.describe(name)
             for name, peer in self._peers.items()
             if peer.is_live(now)
         }
-        return list((told_of | heard).values())
+        return list((named | live).values())
 
-    def _is_zone_parted(self, heard: Iterable[Peer], now: float) -> bool:
-        """Tell whether nothing is heard of any other zone any more."""
-        others = {peer.zone for peer in heard} - {'', self._settings.zone}
+    def _is_zone_isolated(self, received: Iterable[Peer], now: float) -> bool:
+        """Return whether all other zones have fallen silent."""
+        others = {peer.zone for peer in received} - {'', self._settings.zone}
         return bool(others) and all(
             self._reach.is_doubtful(zone, now) for zone in others
         )
