--- a/src/kelproad/coordination/ingress/exchange.py
+++ b/src/kelproad/coordination/ingress/exchange.py
@@ -85,8 +85,8 @@
         ``period`` and ``repeat`` are the least seconds since the last report
         if there are changes, and if there are none.
         """
-        interval = repeat if changes == self.changes else period
-        if now - self.at < interval:
+        pause = repeat if changes == self.changes else period
+        if now - self.at < pause:
             return False
         self.changes = changes
         self.at = now
