--- a/src/kelproad/coordination/ingress/following.py
+++ b/src/kelproad/coordination/ingress/following.py
@@ -1,9 +1,9 @@
 """Following a table of the store, through outages and lost history.
 
-A follower reads the table once, then waits for changes.  Each sound answer
-also says how fresh the table is here, which is what permits to trust an API key
-or to leave an endpoint for good.  Another instance may be asked in place of the
-store; when none can tell, the store is.
+A follower reads the table once, then waits for changes.  Each valid answer
+also shows how fresh the table is here, which permits to trust an API key or to
+remove an endpoint for good.  Another instance may be queried in place of the
+store; when none can answer, the store is.
 """
 
 import asyncio
@@ -32,14 +32,14 @@
 ]
 
 _logger = logging.getLogger(__name__)
-#: Bounds of the pause after a failed call, in seconds.  Short, as everything
-#: in force ages meanwhile; drawn at random, so that the instances don't come
-#: back together.
-_SHORTEST_PAUSE = 0.05
-_LONGEST_PAUSE = 0.5
-#: Seconds between two questions to another instance: short, as they cost the
-#: store nothing, and what is told here grows by them in age.
-_ASK_PERIOD = 0.2
+#: Bounds of the delay after a failed call, in seconds.  Short, as everything
+#: in force ages meanwhile; chosen at random, so that the instances don't
+#: retry together.
+_MIN_RETRY_DELAY = 0.05
+_MAX_RETRY_DELAY = 0.5
+#: Seconds between two queries to another instance: short, as they don't load
+#: the store, and tables relayed to this instance are older by this interval.
+_PEER_QUERY_PERIOD = 0.2
 
 
 @attrs.frozen
@@ -56,16 +56,16 @@
 
 @attrs.frozen
 class PeerTable:
-    """A table as another instance tells it.
+    """A table as relayed by other instances.
 
     Attributes
     ----------
     ask
-        Asks what changed since a version, or for all rows; gives nothing when
-        no instance can tell.
+        Queries what changed since a version, or all rows; ``None`` when no
+        instance can answer.
     measure_backoff
-        Tells for how many seconds at the most this instance leaves it to others
-        to find the store: none if others are told by it, or there are none.
+        Returns the maximum seconds to wait for another instance to find the
+        store first: 0 if others are served by this one, or there are none.
     """
 
     ask: Callable[[int | None], Awaitable[TableState | None]]
@@ -73,19 +73,19 @@
 
 
 class TableFollower(BackgroundService):
-    """Keeps one table current here, as long as the store can be reached.
+    """Keeps a local copy of one table current while the store is reachable.
 
     Attributes
     ----------
     sound_at
-        Boot time at which the call was sent that last got a sound answer:
-        what was true then, or later, is known here.  A machine that was
-        suspended must not take for fresh what it knew before, so this is not
-        the monotonic clock.
+        Boot time at which the call was sent that last got a valid answer:
+        everything that was true until then is known here.  The monotonic clock
+        won't do, as it stands still while a machine is suspended, and old data
+        would then pass for fresh.
     back_at
-        Monotonic time of the first sound answer after a failure.
+        Monotonic time of the first valid answer after a failure.
     provenance
-        Where the last sound answer came from, ``None`` before the first.
+        Source of the last valid answer, ``None`` before the first.
     """
 
     abstract = False
@@ -94,7 +94,7 @@
         self,
         source: TableSource,
         adopt: Callable[[TableState], None],
-        patience: float,
+        wait_seconds: float,
         pause: float,
         generator: random.Random,
         peers: PeerTable,
@@ -106,25 +106,25 @@
         source
             The table.
         adopt
-            Takes each state that was read.
-        patience
+            Receives each state that was read.
+        wait_seconds
             Seconds that a call waits for a change.
         pause
             Seconds between two calls that brought changes, which lets
             several changes come in one answer.
         generator
-            Source of the pauses after failures.
+            Source of the random delays after failures.
         peers
-            The same table as other instances tell it.
+            The same table as relayed by other instances.
         """
         super().__init__()
         self._source = source
         self._adopt = adopt
-        self._patience = patience
+        self._wait_seconds = wait_seconds
         self._pause = pause
         self._generator = generator
         self._peers = peers
-        #: When the store is to be asked next; ``None`` until that is chosen.
+        #: Monotonic time of the next call to the store, ``None`` until chosen.
         self._store_due: float | None = None
         self._version: int | None = None
         self._failures = 0
@@ -137,28 +137,28 @@
         return read_boottime() - self.sound_at
 
     def measure_back(self) -> float:
-        """Return the seconds since the store came back; infinite if never."""
+        """Return the seconds since the store recovered; infinite if never."""
         return monotonic() - self.back_at
 
     @property
     def failing(self) -> bool:
-        """Whether the last call failed."""
+        """Whether the last call to the store failed."""
         return bool(self._failures)
 
     @Service.task
     async def _follow(self) -> None:
         while not self.should_stop:
             sent_at = read_boottime()
-            told = await self._peers.ask(self._version)
-            if told is not None:
-                self._accept(told, sent_at)
-                await asyncio.sleep(_ASK_PERIOD)
+            relayed = await self._peers.ask(self._version)
+            if relayed is not None:
+                self._accept(relayed, sent_at)
+                await asyncio.sleep(_PEER_QUERY_PERIOD)
                 continue
             until_due = self._schedule_store() - monotonic()
             if until_due > 0:
-                await asyncio.sleep(min(until_due, _ASK_PERIOD))
+                await asyncio.sleep(min(until_due, _PEER_QUERY_PERIOD))
                 continue
-            answered = await self._ask_store()
+            answered = await self._query_store()
             if isinstance(answered, Failure):
                 self._bear(answered.failure())
                 continue
@@ -166,11 +166,11 @@
             await asyncio.sleep(self._pause)
 
     def _schedule_store(self) -> float:
-        """Choose when to ask the store, if that is not chosen yet.
+        """Choose when to query the store, if that is not chosen yet.
 
-        Whoever knows nothing asks at once.  Of those that were told until now
-        the first to find the store tells the others, so that not all of them
-        come to it together.
+        An instance without any state queries it at once.  Of those that were
+        served by another instance until now, the first to find the store
+        serves the others, so that they don't all query it together.
         """
         if self._store_due is None:
             known = self._version is not None
@@ -178,16 +178,16 @@
             self._store_due = monotonic() + self._generator.uniform(0, longest)
         return self._store_due
 
-    async def _ask_store(self) -> Result[TableState, StoreProblem]:
+    async def _query_store(self) -> Result[TableState, StoreProblem]:
         if self._version is None:
             return await self._source.read()
-        # After a failure an answer is wanted at once, to know whether the
-        # store is back, and not when something changes; so it is when another
-        # instance has just failed to tell.
+        # After a failure the answer is needed at once, not at the next change,
+        # to know whether the store is back; likewise when another instance has
+        # just failed to answer.
         direct = self.provenance is Provenance.STORE
         waits = direct and not self._failures
-        patience = self._patience if waits else 0
-        return await self._source.await_changes(self._version, patience)
+        wait_seconds = self._wait_seconds if waits else 0
+        return await self._source.await_changes(self._version, wait_seconds)
 
     def _accept(self, state: TableState, sent_at: float) -> None:
         if self._failures:
@@ -202,9 +202,9 @@
         self._failures = 0
         self._store_due = None
         self.back_at = max(self.back_at, monotonic() - state.back_for)
-        self._note_provenance(state.provenance)
-        # The store's counter never goes back; an answer that does is that of
-        # a stale reader, and following it would lose no change but repeat old
+        self._record_provenance(state.provenance)
+        # The store's counter never decreases; a lower version comes from a
+        # stale reader, and adopting it would lose no change but repeat old
         # ones over newer ones.
         if self._version is not None and state.version < self._version:
             return
@@ -212,7 +212,7 @@
         self._adopt(state)
         self.sound_at = max(self.sound_at, sent_at - state.age)
 
-    def _note_provenance(self, provenance: Provenance) -> None:
+    def _record_provenance(self, provenance: Provenance) -> None:
         if provenance is not self.provenance:
             direct = provenance is Provenance.STORE
             record(
@@ -224,9 +224,9 @@
         self.provenance = provenance
 
     def _bear(self, problem: StoreProblem) -> None:
-        """Note a failure, and when the store is asked again."""
+        """Record a failure, and schedule the next query to the store."""
         if problem.kind is StoreProblemKind.HISTORY_LOST:
-            # Changes were missed; only the whole table tells what holds.
+            # Changes were missed; only the complete table shows what is valid.
             self._version = None
             record(_logger, 'store_history_lost', table=self._source.name)
             return
@@ -240,8 +240,8 @@
                 message=problem.message,
             )
         bound = self._peers.measure_backoff() or min(
-            _SHORTEST_PAUSE * 2**self._failures,
-            _LONGEST_PAUSE,
+            _MIN_RETRY_DELAY * 2**self._failures,
+            _MAX_RETRY_DELAY,
         )
-        pause = self._generator.uniform(_SHORTEST_PAUSE, bound)
+        pause = self._generator.uniform(_MIN_RETRY_DELAY, bound)
         self._store_due = monotonic() + pause
--- a/src/kelproad/coordination/ingress/updates.py
+++ b/src/kelproad/coordination/ingress/updates.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of themselves, as datagrams hold it."""
+"""Reports that instances send each other of themselves, as datagrams."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -18,10 +18,10 @@
 
 
 class ToldWork(msgspec.Struct, array_like=True):
-    """Work at one endpoint, as told to peers.
+    """Work at one endpoint, as reported to peers.
 
     New fields go to the end and have a default, as instances of two versions
-    run side by side while a release goes on.
+    run side by side during an upgrade.
     """
 
     endpoint: str
@@ -33,7 +33,7 @@
 
 
 class ZoneReader(msgspec.Struct, array_like=True):
-    """The instance that tells the others of its zone what the store holds."""
+    """The instance that serves the store's tables to the others of its zone."""
 
     instance: str
     host: str
@@ -41,15 +41,16 @@
 
 
 class PeerUpdate(msgspec.Struct, array_like=True):
-    """What an instance tells of itself.
-
-    ``sequence`` orders the datagrams of one life, ``started_at`` the lives.
-    ``unconfirmed_for`` are the seconds since the sender's configuration was
-    last confirmed, ``None`` when it never was.  ``refusing`` names engines that
-    refused to read a part of a prompt for it, ``slow`` those that said how many
-    times the published seconds they take.  ``provenance`` says where the
-    sender's tables come from, ``None`` when they are too old to be told on.
-    ``zone_reader`` is who tells the sender's zone.
+    """Report of an instance on itself.
+
+    ``sequence`` orders the datagrams of one incarnation, ``started_at`` the
+    incarnations.  ``unconfirmed_for`` is the time in seconds since the sender's
+    configuration was last confirmed, ``None`` when it never was.  ``refusing``
+    names engines that refused to prefill a prompt part for the sender, ``slow``
+    those that reported how many times their published durations they take.
+    ``provenance`` is the source of the sender's tables, ``None`` when they are
+    too old to be relayed.  ``zone_reader`` is the instance that serves tables
+    to the sender's zone.
     """
 
     instance: str
@@ -71,7 +72,7 @@
 
 
 def decode_update(datagram: bytes) -> Result[PeerUpdate, str]:
-    """Decode a datagram, or say why it can't be."""
+    """Decode a datagram, or return why it is unreadable."""
     try:
         return Success(_decode(datagram))
     except msgspec.DecodeError as error:
@@ -79,7 +80,7 @@
 
 
 def tell_work(by_endpoint: dict[str, EndpointWork]) -> list[ToldWork]:
-    """List work as peers are told it."""
+    """Convert work to its form in datagrams, seconds rounded to 0.1 ms."""
     return [
         ToldWork(
             name,
@@ -93,8 +94,8 @@
     ]
 
 
-def read_work(told: list[ToldWork]) -> dict[str, EndpointWork]:
-    """Read work that was told, by endpoint."""
+def read_work(reported: list[ToldWork]) -> dict[str, EndpointWork]:
+    """Convert reported work from its form in datagrams, by endpoint."""
     return {
         work.endpoint: EndpointWork(
             work.calls,
@@ -103,5 +104,5 @@
             work.helping,
             work.patient_calls,
         )
-        for work in told
+        for work in reported
     }
