--- a/src/kelproad/coordination/ingress/relaying.py
+++ b/src/kelproad/coordination/ingress/relaying.py
@@ -1,9 +1,9 @@
-"""Handing tables of the store on between the instances of a zone.
+"""Relaying tables of the store between instances.
 
-What an instance is told is as fresh as the teller's own reading, never fresher:
-the age is told with it, and counted from before the question was sent.  So an
-answer that was long on its way, or an instance that was suspended between two
-lines, can make nobody trust what is old.
+Relayed data is as fresh as the sender's own read, never fresher: its age is
+sent with it, and counted from before the query was sent.  So an answer that
+was delayed, or an instance that was suspended between two lines of code, can't
+make anyone trust old data.
 """
 
 import functools
@@ -36,22 +36,22 @@
 ]
 
 _logger = logging.getLogger(__name__)
-#: Path under which an instance hands a table on, with the name of the table.
+#: Path under which an instance serves a table to peers, before its name.
 TABLE_PATH = '/tables/'
 _AFTER = 'after'
 _ZONE = 'zone'
-#: Seconds for a question: the way takes 0.2 ms within a zone, and an instance
+#: Seconds for a query: the network takes 0.2 ms within a zone, and an instance
 #: that has a burst of calls may be some 0.1 s behind.
-_ASK_TIMEOUT = 0.3
+_QUERY_TIMEOUT = 0.3
 _OK = 200
 _CONFLICT = 409
 
 
-class _Told(msgspec.Struct, array_like=True):
-    """A state of a table, as told to a peer.
+class _TableReply(msgspec.Struct, array_like=True):
+    """A state of a table, as sent to a peer.
 
-    ``age`` are the seconds since the teller's own reading, ``back_for`` those
-    since the store came back there, ``None`` when it never was away.
+    ``age`` is the time in seconds since the sender's own read, ``back_for``
+    that since the store recovered there, ``None`` when it never failed.
     """
 
     version: int
@@ -62,17 +62,17 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(_Told).decode
+_decode = msgspec.msgpack.Decoder(_TableReply).decode
 _decode_rows = msgspec.msgpack.Decoder(
     list[tuple[str, bytes | None, int]],
 ).decode
-#: Level of compression, the fastest: a reader tells many peers of each change.
+#: Level of compression, the fastest: a reader sends each change to many peers.
 _COMPRESSION = 1
 
 
 @attrs.frozen
 class TableRelay:
-    """Asks other instances for one table."""
+    """Queries other instances for one table."""
 
     _table: str
     _zone: str
@@ -83,34 +83,34 @@
     _counters: Counters
 
     async def ask(self, after: int | None) -> TableState | None:
-        """Ask for what changed since a version, or for all rows.
+        """Query what changed since a version, or all rows.
 
         Returns
         -------
         TableState | None
-            Nothing when no other instance could tell.
+            Nothing when no other instance could answer with fresh data.
         """
         reader = self._readers.choose(monotonic())
         if reader is None:
             return None
-        told = await self._ask(reader, after)
-        outcome = 'failed' if isinstance(told, Failure) else 'ok'
+        replied = await self._query(reader, after)
+        outcome = 'failed' if isinstance(replied, Failure) else 'ok'
         self._counters.store_calls.inc(
             {'operation': 'ask_peer', 'outcome': outcome},
         )
-        if isinstance(told, Failure):
+        if isinstance(replied, Failure):
             record(
                 _logger,
                 'reader_avoided',
                 table=self._table,
                 reader=reader.instance,
-                reason=told.failure(),
+                reason=replied.failure(),
             )
             return None
         within_zone = reader.zone == self._zone
         return _leave_out_old(
             attrs.evolve(
-                told.unwrap(),
+                replied.unwrap(),
                 provenance=(
                     Provenance.SAME_ZONE
                     if within_zone
@@ -119,13 +119,13 @@
             ),
         )
 
-    async def _ask(
+    async def _query(
         self,
         reader: Reader,
         after: int | None,
     ) -> Result[TableState, str]:
         """Fetch what changed, if anything did."""
-        asked_at = read_boottime()
+        queried_at = read_boottime()
         freshness = await self._probe(reader)
         if freshness is None:
             self._readers.avoid(reader, monotonic())
@@ -133,7 +133,7 @@
         table = freshness.tables.get(self._table)
         if table is None:
             self._readers.note_refusal(reader, monotonic())
-            return Failure('not told here')
+            return Failure('the table is not relayed by this instance')
         if after is None or after < table.changed_at:
             return await self._fetch(reader, after)
         return Success(
@@ -141,9 +141,9 @@
                 table.version,
                 [],
                 whole=False,
-                # An answer that another table's question brought is older
-                # than this one's.
-                age=table.age + max(0, asked_at - freshness.asked_at),
+                # An answer that the query for another table brought is older
+                # than this query.
+                age=table.age + max(0, queried_at - freshness.asked_at),
                 back_for=_read_back_for(table.back_for),
             ),
         )
@@ -161,51 +161,55 @@
             self._session,
             'GET',
             f'{address.url}{TABLE_PATH}{self._table}',
-            _ASK_TIMEOUT,
+            _QUERY_TIMEOUT,
             query=query,
         )
-        told = answered.alt(lambda failure: failure.reason).bind(_read_reply)
-        if isinstance(told, Failure):
+        replied = answered.alt(lambda failure: failure.reason).bind(_read_reply)
+        if isinstance(replied, Failure):
             self._readers.avoid(reader, monotonic())
-        return told
+        return replied
 
 
-def _leave_out_old(told: TableState) -> TableState | None:
-    """Leave out what is so old that the store itself had better be asked.
+def _leave_out_old(state: TableState) -> TableState | None:
+    """Discard a state that is so old that the store should be queried.
 
-    The reader is well, and asked again: it may be the first to notice that the
-    store is back.
+    Its reader is not avoided, but queried again: it may be the first to notice
+    that the store has recovered.
     """
-    return told if told.age <= OLDEST_TOLD else None
+    return state if state.age <= OLDEST_TOLD else None
 
 
 def build_answer(state: TableState | None) -> web.Response:
-    """Build what a peer is told of a table, or that it isn't read here."""
+    """Build the answer to a peer's query; 409 for a table not relayed here."""
     if state is None:
-        return web.Response(status=_CONFLICT, text='not read here\n')
+        return web.Response(
+            status=_CONFLICT, text='the table is not relayed by this instance\n'
+        )
     back_for = state.back_for if math.isfinite(state.back_for) else None
     packed = _pack_rows(tuple(state.rows))
     return web.Response(
         body=_encode(
-            _Told(state.version, state.age, back_for, state.whole, packed),
+            _TableReply(
+                state.version, state.age, back_for, state.whole, packed
+            ),
         ),
     )
 
 
 def read_after(http_request: web.Request) -> int | None:
-    """Read since which version a peer asks; all rows when it says none."""
+    """Return the version that a peer has; ``None`` if it needs all rows."""
     text = http_request.query.get(_AFTER, '')
     return int(text) if text.isdecimal() else None
 
 
 def read_zone(http_request: web.Request) -> str:
-    """Read the zone of the peer that asks."""
+    """Return the zone of the peer that sent a query; empty if not stated."""
     return http_request.query.get(_ZONE, '')
 
 
 @functools.lru_cache(maxsize=4)
 def _pack_rows(rows: tuple[StoredRow, ...]) -> bytes:
-    """Pack rows once for all peers that ask for the same."""
+    """Pack rows once for all peers that query the same."""
     encoded = _encode([(row.key, row.encoded, row.version) for row in rows])
     return zlib.compress(encoded, _COMPRESSION)
 
@@ -218,17 +222,17 @@
 
 def _read_told(received: bytes) -> Result[TableState, str]:
     try:
-        told = _decode(received)
-        rows = _decode_rows(zlib.decompress(told.packed_rows))
+        reply = _decode(received)
+        rows = _decode_rows(zlib.decompress(reply.packed_rows))
     except (msgspec.DecodeError, zlib.error) as error:
         return Failure(f'unreadable: {error}')
     return Success(
         TableState(
-            told.version,
+            reply.version,
             [StoredRow(*row) for row in rows],
-            told.whole,
-            told.age,
-            _read_back_for(told.back_for),
+            reply.whole,
+            reply.age,
+            _read_back_for(reply.back_for),
         ),
     )
 
--- a/src/kelproad/coordination/ingress/tables.py
+++ b/src/kelproad/coordination/ingress/tables.py
@@ -1,7 +1,7 @@
 """The tables of the store that an instance follows: configuration, endpoints.
 
-Each has a follower, which keeps it current here, and a cache, from which peers
-of the zone are told of it.
+Each has a follower, which keeps it current here, and a cache, from which it is
+relayed to peers.
 """
 
 import math
@@ -26,16 +26,16 @@
 
 __all__ = ['FollowedTables', 'TableFreshness']
 
-#: Seconds that a call to the store waits for a configuration.  Those that are
-#: told of it are twice that behind, which must stay below the time from which
-#: an instance counts as cut off from the store.
-_CONFIGURATION_PATIENCE = 0.4
+#: Seconds that a call to the store waits for a configuration.  Instances that
+#: it is relayed to are twice that behind, which must stay below the time from
+#: which an instance counts as cut off from the store.
+_CONFIGURATION_WAIT = 0.4
 #: Seconds that a call waits for a change of the endpoints, and the pause after
 #: one, which lets several changes come in one answer.
-_ENDPOINT_PATIENCE = 0.3
+_ENDPOINT_WAIT = 0.3
 _ENDPOINT_PAUSE = 0.6
-#: Largest share of the time in which a change must be in force, or an endpoint
-#: that leaves be left, for which calls wait or pause.
+#: Largest share of the time in which a change must be in force, or a leaving
+#: endpoint get no more calls, for which calls to the store wait or pause.
 _WAIT_SHARE = 0.2
 _PAUSE_SHARE = 0.2
 
@@ -50,9 +50,9 @@
     changed_at
         Version at which the table last changed.
     age
-        Seconds since the store said so.
+        Seconds since the store confirmed it.
     back_for
-        Seconds since the store came back, ``None`` if it never was away.
+        Seconds since the store recovered, ``None`` if it never failed.
     """
 
     version: int
@@ -63,16 +63,16 @@
 
 @attrs.frozen
 class _Followed:
-    """A table that is kept current here, and told on from here."""
+    """A table that is kept current here, and relayed to peers."""
 
     follower: TableFollower
     cache: TableCache
 
     def may_tell(self, within_zone: bool) -> bool:
-        """Tell whether a peer of this zone, or of another one, may be told.
+        """Return whether it may be relayed to peers of this zone, or another.
 
-        What the own zone told is told to nobody, and what another zone told
-        only to the own one, lest two instances ask each other.
+        A table from the local zone is relayed to nobody, one from another zone
+        only to the local one, lest two instances query each other.
         """
         provenance = self.follower.provenance
         if provenance is None:
@@ -81,7 +81,7 @@
         return provenance >= least
 
     def describe_freshness(self) -> TableFreshness:
-        """Describe how fresh the table is."""
+        """Describe the freshness as of now, for peers."""
         back_for = self.follower.measure_back()
         return TableFreshness(
             self.cache.version,
@@ -92,7 +92,7 @@
 
 
 class FollowedTables:
-    """Keeps configuration and endpoints current, and tells peers of them.
+    """Keeps configuration and endpoints current, and relays them to peers.
 
     Attributes
     ----------
@@ -111,9 +111,10 @@
         open_peer_table: Callable[[str], PeerTable],
         generator: random.Random,
     ) -> None:
-        """Put what the store says into a holder and a table.
+        """Put the contents of the store into a holder and a table.
 
-        ``open_peer_table`` gives the way to ask other instances for a table.
+        ``open_peer_table`` returns the way to query other instances for a
+        table.
         """
         self._store = store
         self._holder = holder
@@ -121,7 +122,7 @@
         self._generator = generator
         self.registry = EndpointRegistry(
             table,
-            # The follower is built later, as it brings what is registered.
+            # The follower is built later, as it fills the registry.
             lambda: self.endpoints.back_at,
             bounds.leave_endpoint,
         )
@@ -132,19 +133,19 @@
 
     @property
     def configuration(self) -> TableFollower:
-        """What keeps the configuration current."""
+        """Follower of the configuration."""
         return self._followed[self._store.configuration.name].follower
 
     @property
     def endpoints(self) -> TableFollower:
-        """What keeps the endpoints current."""
+        """Follower of the endpoints."""
         return self._followed[self._store.endpoints.name].follower
 
     @property
     def provenance(self) -> Provenance | None:
-        """Where the tables come from, the least direct of them.
+        """Source of the tables, the least direct of them.
 
-        There is none while one of them is too old to be told on.
+        ``None`` while one of them is too old to be relayed.
         """
         followers = [followed.follower for followed in self._followed.values()]
         known = [
@@ -161,12 +162,12 @@
         after: int | None,
         within_zone: bool,
     ) -> TableState | None:
-        """Tell a peer what changed in a table since a version.
+        """List for a peer what changed in a table since a version.
 
         Returns
         -------
         TableState | None
-            Nothing when the peer had better ask somebody else.
+            Nothing when the peer should query another instance.
         """
         followed = self._followed.get(name)
         if followed is None or not followed.may_tell(within_zone):
@@ -184,7 +185,7 @@
         self,
         within_zone: bool,
     ) -> dict[str, TableFreshness]:
-        """Describe how fresh the tables are that a peer may be told."""
+        """Describe the tables that may be relayed to a peer, by name."""
         return {
             name: followed.describe_freshness()
             for name, followed in self._followed.items()
@@ -193,8 +194,8 @@
         }
 
     def _follow_configuration(self, bounds: Bounds) -> _Followed:
-        patience = min(
-            _CONFIGURATION_PATIENCE,
+        wait_seconds = min(
+            _CONFIGURATION_WAIT,
             bounds.apply_configuration * _WAIT_SHARE,
         )
         return self._follow(
@@ -202,7 +203,7 @@
             _read_text,
             TableCache(operator.eq),
             self._adopt_configuration,
-            patience,
+            wait_seconds,
             0,
         )
 
@@ -211,9 +212,9 @@
         return self._follow(
             self._store.endpoints,
             self._store.decode_endpoint,
-            TableCache(_tells_same_entry),
+            TableCache(_is_same_entry),
             self.registry.adopt,
-            _ENDPOINT_PATIENCE,
+            _ENDPOINT_WAIT,
             pause,
         )
 
@@ -223,18 +224,18 @@
         decode: Callable[[StoredRow], Said],
         cache: TableCache[Said],
         adopt: Callable[[DecodedState[Said]], None],
-        patience: float,
+        wait_seconds: float,
         pause: float,
     ) -> _Followed:
-        def take(state: TableState) -> None:  # noqa: WPS430  closure
+        def update(state: TableState) -> None:  # noqa: WPS430  closure
             decoded = DecodedState.from_state(state, decode)
             cache.take(decoded)
             adopt(decoded)
 
         follower = TableFollower(
             source,
-            take,
-            patience,
+            update,
+            wait_seconds,
             pause,
             self._generator,
             self._open_peer_table(source.name),
@@ -254,18 +255,16 @@
     return row.encoded
 
 
-def _tells_same_entry(
+def _is_same_entry(
     known: Result[ListedEndpoint, str],
     entry: Result[ListedEndpoint, str],
 ) -> bool:
-    """Tell whether two reports differ in nothing but their count."""
+    """Return whether two reports differ only in what each report changes."""
     if isinstance(known, Failure) or isinstance(entry, Failure):
         return False
-    return _leave_out_count(known.unwrap()) == _leave_out_count(
-        entry.unwrap(),
-    )
+    return _clear_count(known.unwrap()) == _clear_count(entry.unwrap())
 
 
-def _leave_out_count(entry: ListedEndpoint) -> ListedEndpoint:
-    """Leave out what every report changes: its count, the time since start."""
+def _clear_count(entry: ListedEndpoint) -> ListedEndpoint:
+    """Clear what every report changes: its count, the time since start."""
     return attrs.evolve(entry, sequence=0, slow_for=0)
--- a/src/kelproad/coordination/ingress/tablestates.py
+++ b/src/kelproad/coordination/ingress/tablestates.py
@@ -1,4 +1,4 @@
-"""States of a table of the store: rows, freshness, or what went wrong."""
+"""States of a table of the store: rows, freshness, or the failed call."""
 
 import enum
 import math
@@ -15,7 +15,7 @@
 
 
 class Provenance(enum.IntEnum):
-    """Where a state of a table comes from, the least direct way first."""
+    """Source of a state of a table, the least direct one first."""
 
     SAME_ZONE = 0
     OTHER_ZONE = 1
@@ -23,7 +23,7 @@
 
 
 class StoreProblemKind(enum.StrEnum):
-    """Why a call to the store brought nothing."""
+    """Why a call to the store failed."""
 
     UNREACHABLE = 'unreachable'
     REFUSED = 'refused'
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class StoreProblem:
-    """A call to the store that brought nothing."""
+    """A failed call to the store."""
 
     kind: StoreProblemKind
     message: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class StoredRow:
-    """A row of the store; ``None`` as its value when it was dropped."""
+    """A row of the store; ``encoded`` is ``None`` when it was deleted."""
 
     key: str
     encoded: bytes | None
@@ -61,11 +61,11 @@
     whole
         Whether these are all rows, or those that changed.
     age
-        Seconds since another instance read this, when it told it.
+        Seconds since another instance read this, when it was relayed.
     back_for
-        Seconds since the store came back there, if it was away.
+        Seconds since the store recovered there, if it had failed.
     provenance
-        Whether the store said so, or an instance of which zone.
+        Whether it comes from the store, or an instance of which zone.
     """
 
     version: int
