--- a/src/kelproad/coordination/ingress/caching.py
+++ b/src/kelproad/coordination/ingress/caching.py
@@ -1,9 +1,9 @@
-"""A table of the store as one instance has it, ready for its peers.
+"""Local copy of a table of the store, to be relayed to peers.
 
-Peers ask for what changed since a version, as they would ask the store.  A
-change that tells nobody anything, such as the next report of an endpoint that
-is as it was, is left out: endpoints report every second or so, and handing
-each report on would make up nearly all that is sent.
+Peers query what changed since a version, as they would query the store.  A
+change without new information, such as the next report of an endpoint whose
+state is unchanged, is excluded: endpoints report every second or so, and
+relaying each report would make up nearly all of the traffic.
 """
 
 from collections.abc import Callable
@@ -14,41 +14,43 @@
 
 __all__ = ['TableCache']
 
-#: Dropped rows that are remembered, so that a peer hears of the dropping.
-#: Endpoints come and go by tens a minute; a peer asks several times a second.
-_MOST_DROPPED = 1_000
+#: Deleted rows that are remembered, so that peers learn of the deletion.
+#: Endpoints come and go by tens a minute; a peer queries several times a
+#: second.
+_MAX_DELETED = 1_000
 
 
 class TableCache(Generic[Said]):
     """Rows of one table, and which of them changed since a version."""
 
-    def __init__(self, tells_same: Callable[[Said, Said], bool]) -> None:
+    def __init__(self, is_equivalent: Callable[[Said, Said], bool]) -> None:
         """Start empty.
 
-        ``tells_same`` tells whether a row says the same as the one before it.
+        ``is_equivalent`` returns whether a row holds no new information
+        compared with the one before it.
         """
-        self._tells_same = tells_same
+        self._is_equivalent = is_equivalent
         self._rows: dict[str, DecodedRow[Said]] = {}
         self._version: int | None = None
-        #: Version of the newest change that told anything.
+        #: Version of the newest change with new information.
         self.changed_at = 0
-        #: Changes behind this version are all known, those before are not.
+        #: Version after which all changes are known.
         self._complete_since = 0
 
     def take(self, state: DecodedState[Said]) -> None:
-        """Take in rows that were read, or those that changed."""
+        """Store all rows that were read, or those that changed."""
         if state.whole:
             self._rows = {}
             self._complete_since = state.version
-            # Rows that are no more in it have no version of their own.
+            # Rows that have disappeared have no version of their own.
             self.changed_at = state.version
         for decoded in state.rows:
             known = self._rows.get(decoded.row.key)
-            if known is None or not self._is_same(known, decoded):
+            if known is None or not self._is_unchanged(known, decoded):
                 self._rows[decoded.row.key] = decoded
                 self.changed_at = max(self.changed_at, decoded.row.version)
         self._version = state.version
-        self._forget_dropped()
+        self._forget_deleted()
 
     @property
     def version(self) -> int | None:
@@ -67,30 +69,30 @@
             return None
         rows = [known.row for known in self._rows.values()]
         if after is None or after < self._complete_since:
-            # Bytes that are empty can't be read, but the row is there; left out
-            # it would pass for one that was dropped, and be kept for a while.
+            # A row with empty bytes is unreadable, but it exists; without it
+            # the peer would take it for deleted, and keep it for a while.
             present = [row for row in rows if row.encoded is not None]
             return TableState(self._version, present, whole=True)
         rows = [row for row in rows if row.version > after]
         return TableState(self._version, rows, whole=False)
 
-    def _is_same(
+    def _is_unchanged(
         self,
         known: DecodedRow[Said],
         decoded: DecodedRow[Said],
     ) -> bool:
         if known.row.encoded is None or decoded.row.encoded is None:
             return False
-        return self._tells_same(known.said, decoded.said)
+        return self._is_equivalent(known.said, decoded.said)
 
-    def _forget_dropped(self) -> None:
-        dropped = [
+    def _forget_deleted(self) -> None:
+        deleted = [
             key
             for key, known in self._rows.items()
             if known.row.encoded is None
         ]
-        if len(dropped) <= _MOST_DROPPED:
+        if len(deleted) <= _MAX_DELETED:
             return
-        for key in dropped:
+        for key in deleted:
             self._rows.pop(key)
         self._complete_since = self._version
--- a/src/kelproad/coordination/ingress/probing.py
+++ b/src/kelproad/coordination/ingress/probing.py
@@ -1,9 +1,9 @@
-"""Asking another instance by datagram whether its tables have changed.
+"""Querying another instance by datagram whether its tables have changed.
 
 Nearly always they have not, and that takes two datagrams of some tens of bytes;
-only a change is fetched by HTTP.  What is told is as old as the teller says,
-counted from before the question was sent, so neither a slow answer nor a
-suspension can make anything look fresher than it is.
+only a change is fetched by HTTP.  The age of the data is what the other
+instance reports, counted from before the query was sent, so neither a slow
+answer nor a suspension can make anything look fresher than it is.
 """
 
 import asyncio
@@ -17,23 +17,23 @@
 
 __all__ = ['Freshness', 'TableProbe']
 
-#: Seconds for an answer, and how often it is asked for, as datagrams get lost.
-#: The way takes up to 6 ms, and an instance that has a burst of calls may be
-#: some 0.1 s behind.
-_ANSWER_SECONDS = 0.15
-_TRIES = 2
-#: Seconds for which one answer serves the followers of all tables.
+#: Seconds to wait for a reply, and the number of attempts, as datagrams get
+#: lost.  The network takes up to 6 ms, and an instance that has a burst of
+#: calls may be some 0.1 s behind.
+_REPLY_TIMEOUT = 0.15
+_MAX_ATTEMPTS = 2
+#: Seconds for which one reply serves the followers of all tables.
 _REUSE_SECONDS = 0.1
 
 
 @attrs.frozen
 class Freshness:
-    """What an instance said of its tables.
+    """Freshness of the tables of an instance, as it reported.
 
     Attributes
     ----------
     asked_at
-        Boot time at which the question was sent.
+        Boot time at which the query was sent.
     """
 
     tables: dict[str, TableFreshness]
@@ -41,42 +41,42 @@
 
 
 class TableProbe:
-    """Asks how fresh the tables of other instances are."""
+    """Queries how fresh the tables of other instances are."""
 
     def __init__(self, queries: PeerQueries) -> None:
-        """Ask by datagram."""
+        """Send the queries by datagram."""
         self._queries = queries
         self._latest: dict[str, Freshness] = {}
-        self._asking: dict[str, asyncio.Task[Freshness | None]] = {}
+        self._pending: dict[str, asyncio.Task[Freshness | None]] = {}
 
     async def ask(self, reader: Reader) -> Freshness | None:
-        """Ask an instance; nothing when it doesn't answer.
+        """Query an instance; ``None`` when it doesn't reply.
 
-        Followers of several tables that ask at about the same time share one
-        question.
+        Followers of several tables that query at about the same time share one
+        query.
         """
         latest = self._latest.get(reader.instance)
         if latest and read_boottime() - latest.asked_at < _REUSE_SECONDS:
             return latest
-        asking = self._asking.get(reader.instance)
-        if asking is None:
-            asking = asyncio.create_task(self._ask(reader))
-            self._asking[reader.instance] = asking
-            asking.add_done_callback(
-                lambda _: self._asking.pop(reader.instance, None),
+        query = self._pending.get(reader.instance)
+        if query is None:
+            query = asyncio.create_task(self._query(reader))
+            self._pending[reader.instance] = query
+            query.add_done_callback(
+                lambda _: self._pending.pop(reader.instance, None),
             )
-        return await asyncio.shield(asking)
+        return await asyncio.shield(query)
 
-    async def _ask(self, reader: Reader) -> Freshness | None:
-        for _ in range(_TRIES):
-            asked_at = read_boottime()
-            answer = await self._queries.ask(
+    async def _query(self, reader: Reader) -> Freshness | None:
+        for _ in range(_MAX_ATTEMPTS):
+            queried_at = read_boottime()
+            reply = await self._queries.ask(
                 TablesQuery,
                 reader.host,
-                _ANSWER_SECONDS,
+                _REPLY_TIMEOUT,
             )
-            if isinstance(answer, TablesReply):
-                freshness = Freshness(answer.tables, asked_at)
+            if isinstance(reply, TablesReply):
+                freshness = Freshness(reply.tables, queried_at)
                 self._latest = {reader.instance: freshness}
                 return freshness
         return None
--- a/src/kelproad/coordination/ingress/queries.py
+++ b/src/kelproad/coordination/ingress/queries.py
@@ -1,6 +1,7 @@
 """Queries from one instance to another, and the replies, by datagram.
 
-Either may get lost: who asks waits for a short time, and asks again if it must.
+Either may get lost: the sender waits for a short time, and may send the query
+again.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 
 
 class TablesQuery(msgspec.Struct, array_like=True, tag=0):
-    """Asks how fresh the tables of the store are at another instance."""
+    """Query for the freshness of the store's tables at another instance."""
 
     token: int
     host: str
@@ -41,14 +42,14 @@
 
 
 class TablesReply(msgspec.Struct, array_like=True, tag=1):
-    """Tells how fresh the tables are that may be told, by name."""
+    """Freshness of the tables that may be relayed to the sender, by name."""
 
     token: int
     tables: dict[str, TableFreshness]
 
 
 class WorkQuery(msgspec.Struct, array_like=True, tag=2):
-    """Asks what is in flight at the engines of another zone."""
+    """Query for the work in flight at the engines of another zone."""
 
     token: int
     host: str
@@ -56,10 +57,10 @@
 
 
 class WorkReply(msgspec.Struct, array_like=True, tag=3):
-    """Tells what is in flight at the engines of a zone.
+    """Work in flight at the engines of a zone.
 
-    Work that instances of the asker's zone sent there is left out, as the
-    asker hears of it from them.
+    Work that instances of the querying zone sent there is excluded, as the
+    sender receives it from them.
     """
 
     token: int
@@ -77,7 +78,7 @@
 
 
 class PeerQueries(BackgroundService):
-    """Asks other instances, and answers them."""
+    """Sends queries to other instances, and replies to theirs."""
 
     abstract = False
 
@@ -86,12 +87,13 @@
         settings: NodeSettings,
         answer: Callable[[Query], Reply],
     ) -> None:
-        """Answer queries by a function."""
+        """Reply to received queries with the result of ``answer``."""
         super().__init__()
         self._settings = settings
         self._answer = answer
         self._socket = DatagramSocket(self.receive)
         self._tokens = itertools.count(1)
+        #: Replies that are waited for, by the token of their query.
         self._waiting: dict[int, asyncio.Future[Reply]] = {}
 
     async def on_start(self) -> None:
@@ -110,7 +112,7 @@
         host: str,
         seconds: float,
     ) -> Reply | None:
-        """Ask an instance once; nothing when it doesn't answer in time."""
+        """Send a query once; ``None`` when no reply comes in time."""
         token = next(self._tokens)
         reply = asyncio.get_running_loop().create_future()
         self._waiting[token] = reply
@@ -125,7 +127,7 @@
         return None
 
     def receive(self, datagram: bytes) -> None:
-        """Answer a query, or take a reply in."""
+        """Reply to a query, or resolve the query that a reply belongs to."""
         try:
             message = _decode(datagram)
         except msgspec.DecodeError as error:
--- a/src/kelproad/coordination/ingress/relaying.py
+++ b/src/kelproad/coordination/ingress/relaying.py
@@ -182,9 +182,7 @@
 def build_answer(state: TableState | None) -> web.Response:
     """Build the answer to a peer's query; 409 for a table not relayed here."""
     if state is None:
-        return web.Response(
-            status=_CONFLICT, text='the table is not relayed by this instance\n'
-        )
+        return web.Response(status=_CONFLICT, text='not read here\n')
     back_for = state.back_for if math.isfinite(state.back_for) else None
     packed = _pack_rows(tuple(state.rows))
     return web.Response(
