--- a/src/kelproad/coordination/ingress/caching.py
+++ b/src/kelproad/coordination/ingress/caching.py
@@ -14,10 +14,10 @@
 
 __all__ = ['TableCache']
 
-#: Deleted rows that are remembered, so that peers learn of the deletion.
+#: Dropped rows that are remembered, so that peers learn of the deletion.
 #: Endpoints come and go by tens a minute; a peer queries several times a
 #: second.
-_MAX_DELETED = 1_000
+_MAX_DROPPED = 1_000
 
 
 class TableCache(Generic[Said]):
@@ -50,7 +50,7 @@
                 self._rows[decoded.row.key] = decoded
                 self.changed_at = max(self.changed_at, decoded.row.version)
         self._version = state.version
-        self._forget_deleted()
+        self._forget_dropped()
 
     @property
     def version(self) -> int | None:
@@ -70,7 +70,7 @@
         rows = [known.row for known in self._rows.values()]
         if after is None or after < self._complete_since:
             # A row with empty bytes is unreadable, but it exists; without it
-            # the peer would take it for deleted, and keep it for a while.
+            # the peer would take it for dropped, and keep it for a while.
             present = [row for row in rows if row.encoded is not None]
             return TableState(self._version, present, whole=True)
         rows = [row for row in rows if row.version > after]
@@ -85,14 +85,14 @@
             return False
         return self._is_equivalent(known.said, decoded.said)
 
-    def _forget_deleted(self) -> None:
-        deleted = [
+    def _forget_dropped(self) -> None:
+        dropped = [
             key
             for key, known in self._rows.items()
             if known.row.encoded is None
         ]
-        if len(deleted) <= _MAX_DELETED:
+        if len(dropped) <= _MAX_DROPPED:
             return
-        for key in deleted:
+        for key in dropped:
             self._rows.pop(key)
         self._complete_since = self._version
--- a/src/kelproad/coordination/ingress/probing.py
+++ b/src/kelproad/coordination/ingress/probing.py
@@ -70,13 +70,13 @@
     async def _query(self, reader: Reader) -> Freshness | None:
         for _ in range(_MAX_ATTEMPTS):
             queried_at = read_boottime()
-            reply = await self._queries.ask(
+            answer = await self._queries.ask(
                 TablesQuery,
                 reader.host,
                 _REPLY_TIMEOUT,
             )
-            if isinstance(reply, TablesReply):
-                freshness = Freshness(reply.tables, queried_at)
+            if isinstance(answer, TablesReply):
+                freshness = Freshness(answer.tables, queried_at)
                 self._latest = {reader.instance: freshness}
                 return freshness
         return None
