--- a/src/kelproad/coordination/ingress/endpoints.py
+++ b/src/kelproad/coordination/ingress/endpoints.py
@@ -145,7 +145,7 @@
             record(_logger, 'endpoint_gone', endpoint=name)
 
     def publish(self) -> None:
-        """Drop entries that have been missing for too long; publish the rest."""
+        """Drop entries missing for too long, and publish the rest."""
         if self._missing:
             self.drop_missing()
             self._publish()
--- a/src/kelproad/coordination/ingress/stopping.py
+++ b/src/kelproad/coordination/ingress/stopping.py
@@ -60,7 +60,7 @@
     Calls that arrive while a balancer can't know of the stop yet are evaluated
     by their probable duration: nearly all of them finish, while evaluating them
     by the longest answer permitted made two in a hundred callers retry
-    elsewhere.
+    elsewhere on days with stops.
 
     Streams that arrive later are evaluated by their deadline.  A stream that
     has begun can't be refused any more, and its duration depends on its engine:
@@ -138,7 +138,7 @@
 
 
 def plan_stop(kill_after: float) -> StopTimes:
-    """Plan the phases of a stop whose kill comes after ``kill_after`` seconds."""
+    """Plan the phases of a stop, given the seconds until the kill."""
     grace = min(_BALANCER_LAG_SECONDS, kill_after * _BALANCER_LAG_SHARE)
     margin = min(_STOP_MARGIN, kill_after * _STOP_MARGIN_SHARE)
     return StopTimes(grace, kill_after - grace - margin, margin)
