--- a/src/kelproad/coordination/ingress/assembly.py
+++ b/src/kelproad/coordination/ingress/assembly.py
@@ -1,4 +1,4 @@
-"""Joining the parts that answer calls, from the entrance to the sender."""
+"""Composition of the components that handle calls, from server to sender."""
 
 import random
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class SharedState:
-    """What the parts of an instance share.
+    """State and functions that the components of an instance share.
 
     Attributes
     ----------
@@ -46,9 +46,9 @@
     zone
         Availability zone of the instance.
     measure_age
-        Tells how many seconds old the configuration may be.
+        Returns how many seconds old the configuration may be.
     read_bounds
-        Tells what operators permit at present.
+        Returns the limits that operators set at present.
     """
 
     instance: str
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class CallPath:
-    """What answers calls, and the memory that it holds at engines."""
+    """The handler of calls, and the memory that it reserves at engines."""
 
     entrance: Entrance
     memory: MemoryKeeper
@@ -81,7 +81,7 @@
         exchange: WorkExchange,
         session: aiohttp.ClientSession,
     ) -> Self:
-        """Join the parts; calls to endpoints go by the session."""
+        """Build the components; calls to endpoints use the session."""
         orders = shared.dialect.open_orders(session)
         memory = MemoryKeeper(orders, shared.read_bounds)
         watch = EngineWatch(
--- a/src/kelproad/coordination/ingress/entrance.py
+++ b/src/kelproad/coordination/ingress/entrance.py
@@ -1,4 +1,4 @@
-"""Receiving calls: admitted or refused, answered, counted and logged."""
+"""Handling calls: admitted or refused, answered, counted and logged."""
 
 import asyncio
 import logging
@@ -27,7 +27,7 @@
 
 
 class Entrance:
-    """Answers the calls of callers."""
+    """Handles calls from their head to the last byte of the answer."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         dispatcher: Dispatcher,
         counters: Counters,
     ) -> None:
-        """Answer what is admitted, refuse the rest.
+        """Dispatch the calls that are admitted, refuse the rest.
 
-        ``measure_age`` tells how many seconds old the configuration may be.
+        ``measure_age`` returns how many seconds old the configuration may be.
         """
         self._dialect = dialect
         self._holder = holder
@@ -48,11 +48,11 @@
         self._admitter = admitter
         self._dispatcher = dispatcher
         self._counters = counters
-        #: Calls from their head to their last byte.
+        #: Calls whose answer has not been sent to its last byte.
         self.unfinished = 0
 
     async def answer(self, http_request: web.Request) -> web.StreamResponse:
-        """Answer one call."""
+        """Handle one call, and count it as unfinished meanwhile."""
         arrived = monotonic()
         self.unfinished += 1
         try:
@@ -80,11 +80,11 @@
             answered = await self._dispatcher.answer(call, http_request)
         except (CallerLeftError, asyncio.CancelledError):
             call.end = CallEnd.CALLER_LEFT
-            self._note_end(call)
+            self._record_end(call)
             raise
         if isinstance(answered, Failure):
             return self._refuse(answered.failure(), head.request_id, arrived)
-        self._note_end(call)
+        self._record_end(call)
         return answered.unwrap()
 
     def _refuse(
@@ -115,7 +115,7 @@
         )
         return self._dialect.answer_own(refusal, request_id)
 
-    def _note_end(self, call: Call) -> None:
+    def _record_end(self, call: Call) -> None:
         now = monotonic()
         self._counters.requests.inc(
             {'service': call.service, 'outcome': call.end.value},
@@ -140,10 +140,10 @@
     http_request: web.Request,
     response: web.StreamResponse,
 ) -> None:
-    """Send a whole answer while its call counts as unfinished.
+    """Send a complete answer while its call counts as unfinished.
 
-    A stop that saw nothing in hand would close the connection behind an answer
-    that its caller reads slowly: of 6 MB it got 4.9.
+    A stop that saw no call in progress would close the connection before a
+    slow caller has read the answer: one received 4.9 of 6 MB.
     """
     try:
         await send_answer(http_request, response)
@@ -157,5 +157,5 @@
 
 
 def _round_age(seconds: float) -> float | None:
-    """Round an age for the log; ``None`` while nothing was ever confirmed."""
+    """Round an age for the log; ``None`` before the first confirmation."""
     return round(seconds, 3) if math.isfinite(seconds) else None
--- a/src/kelproad/coordination/ingress/node.py
+++ b/src/kelproad/coordination/ingress/node.py
@@ -1,4 +1,4 @@
-"""One instance of the routed interface: its parts, how they start and stop."""
+"""One instance of the routed interface: composition, start and stop."""
 
 import asyncio
 import logging
@@ -34,16 +34,16 @@
 __all__ = ['Node']
 
 _logger = logging.getLogger(__name__)
-#: Seconds between two looks at entries that lapsed.
+#: Seconds between two checks for lapsed endpoint entries.
 _LAPSE_PERIOD = 0.25
 #: Seconds between two closings of idle connections during a stop.
 _CLOSE_PERIOD = 0.25
-#: Seconds in which calls that the end of a stop interrupts are answered.
+#: Seconds for answering the calls that the end of a stop interrupts.
 _ANSWER_SECONDS = 0.2
-#: Seconds that releases of memory have at the end.
+#: Seconds for releasing memory at the end.
 _RELEASE_SECONDS = 0.3
-#: Share of the time in which a key must be revoked after which an instance
-#: that hears nothing of the store sends callers to others.
+#: Share of the time limit for revoking a key after which an instance without an
+#: answer from the store reports itself unready, so that callers go to others.
 _UNREADY_SHARE = 0.45
 
 
@@ -58,7 +58,7 @@
         dialect: Dialect,
         open_store: OpenStore,
     ) -> None:
-        """Keep the settings; the parts are built when it starts."""
+        """Keep the settings; the components are built at the start."""
         super().__init__()
         settings = holder.current
         self._settings_holder = holder
@@ -81,7 +81,7 @@
         )
 
     async def on_first_start(self) -> None:
-        """Build the parts, start them, and listen last of all."""
+        """Build the components, start them, and listen last of all."""
         store = self._open_store(self._open_kept_session(), self._counters)
         self._peering = Peering(
             self._settings,
@@ -130,20 +130,20 @@
         self._settings_holder.refresh()
 
     def start_drain(self) -> None:
-        """Begin a planned stop, by the settings as they are now.
+        """Begin a planned stop, by the current content of the settings file.
 
-        They may have been written just before, and nothing has looked since.
+        It may have been written since the last check.
         """
         self.reload()
         self._drain.start()
 
     async def run_until_drained(self) -> int:
-        """Serve until a planned stop has been asked for and is done.
+        """Serve until a planned stop has been requested and is done.
 
         Returns
         -------
         int
-            Calls that were cut, which is 0 unless the time ran out.
+            Calls that were cut off, which is 0 unless the time ran out.
         """
         await self._drain.started.wait()
         record(
@@ -155,7 +155,7 @@
         await self._drain.finish()
         interrupted = self._drain.end()
         await self._drain.settle(self._drain.bound_closing(_ANSWER_SECONDS))
-        # Answers that callers read slowly are cut by the closing.
+        # Answers that callers read slowly are cut off when servers close.
         left = max(interrupted, self._path.entrance.unfinished)
         closing.cancel()
         await self._path.memory.finish(
@@ -164,7 +164,7 @@
         self._record_stop('instance_stopped', unfinished=left)
         return left
 
-    # Building
+    # Composition
 
     def _create_call_path(self) -> CallPath:
         shared = SharedState(
@@ -231,28 +231,28 @@
             await asyncio.sleep(_LAPSE_PERIOD)
             self._tables.registry.publish()
 
-    # Stopping and telling
+    # Stop and reporting
 
     async def _close_idle(self) -> None:
         """Close kept connections without a call while the instance stops.
 
-        Later it would be in the midst of the next call.
+        Left open, a connection would be closed during its caller's next call.
         """
         while True:
             try:
                 await self._caller_server.close_idle()
             except Exception:
-                # The next round closes what this one could not.
+                # The next round closes the connections that this one could not.
                 _logger.exception('idle connections could not be closed')
             await asyncio.sleep(_CLOSE_PERIOD)
 
     def _record_stop(self, event: str, **fields: object) -> None:
-        """Tell how far a stop has come, and what is left until the kill."""
+        """Log an event of a stop with the seconds left until the kill."""
         until_kill = round(self._drain.measure_until_kill(), 3)
         record(_logger, event, until_kill=until_kill, **fields)
 
     def _explain_unready(self) -> str:
-        """Say why no calls should come here; empty when they should."""
+        """Return why no calls should be sent here; empty if they should."""
         age = self._tables.configuration.measure_age()
         if self._drain.phase is not DrainPhase.SERVING:
             return 'stopping'
@@ -269,7 +269,7 @@
         return ''
 
     def _describe(self) -> dict[str, object]:
-        """Describe the state of this process for people."""
+        """Describe the state of this process for operators."""
         configuration = self._holder.current
         now = monotonic()
         return {
--- a/src/kelproad/coordination/ingress/peering.py
+++ b/src/kelproad/coordination/ingress/peering.py
@@ -1,7 +1,7 @@
-"""What an instance hears from the store and from other instances, joined.
+"""Composition of the parts that follow the store and talk to other instances.
 
-Each of these parts needs another one: tables are asked of instances that the
-exchange hears of, and the exchange tells where the tables come from.
+They depend on each other: tables are queried from instances that the exchange
+knows of, and the exchange reports the source of the tables.
 """
 
 import random
@@ -39,7 +39,7 @@
     tables
         Tables of the store that are kept current here.
     exchange
-        Work in flight, told by datagram.
+        Exchange of work in flight, by datagram.
     queries
         Queries to other instances, and replies to theirs.
     """
@@ -57,9 +57,9 @@
         counters: Counters,
         generator: random.Random,
     ) -> None:
-        """Put what is heard into a holder, a table and a ledger.
+        """Put received state into a holder, a table and a ledger.
 
-        ``session`` carries the calls to other instances.
+        ``session`` is used for HTTP requests to other instances.
         """
         self._settings = settings
         self._table = table
@@ -70,7 +70,7 @@
         self.queries = PeerQueries(settings, self._answer)
         self._probe = TableProbe(self.queries)
         self._readers = ReaderChoice(
-            # The exchange is built last, as it tells of the tables.
+            # The exchange is built last, as it reports on the tables.
             lambda: self.exchange.describe_own(),
             lambda now: self.exchange.peers.list_heard(now),
         )
@@ -84,7 +84,7 @@
         )
         self.exchange = WorkExchange(
             settings,
-            # Tells this life of the process from earlier ones.
+            # Distinguishes this incarnation of the process from earlier ones.
             time.time_ns(),
             ledger,
             reach,
@@ -95,7 +95,7 @@
         )
 
     def list_services(self) -> list[Service]:
-        """List what is to be started, in this order."""
+        """List the services to be started, in this order."""
         return [
             self.tables.configuration,
             self.tables.endpoints,
@@ -104,7 +104,7 @@
         ]
 
     def _open_peer_table(self, name: str) -> PeerTable:
-        """Prepare to ask other instances for a table."""
+        """Build the way to query other instances for a table."""
         relay = TableRelay(
             name,
             self._settings.zone,
@@ -120,7 +120,7 @@
         )
 
     def _answer(self, query: Query) -> Reply:
-        """Answer what another instance asks by datagram."""
+        """Answer a query that another instance sent by datagram."""
         if isinstance(query, WorkQuery):
             return answer_work(
                 query,
