--- a/src/kelproad/coordination/ingress/reloading.py
+++ b/src/kelproad/coordination/ingress/reloading.py
@@ -1,7 +1,7 @@
-"""The settings in force, read again when their file changes.
+"""The settings in force, reloaded when their file changes.
 
-The platform may write the file anew at any time, with a signal or without one.
-A file that can't be used changes nothing.
+The platform may rewrite the file at any time, with or without a signal.  An
+invalid file changes nothing.
 """
 
 import asyncio
@@ -20,10 +20,10 @@
 __all__ = ['SettingsHolder', 'SettingsWatch']
 
 _logger = logging.getLogger(__name__)
-#: Seconds between two looks at the file, which has some 2 KB.
-_LOOK_PERIOD = 1.0
-#: Settings that only a new process can follow.
-_FIXED = (
+#: Seconds between two reads of the file, which has some 2 KB.
+_RELOAD_PERIOD = 1.0
+#: Settings that take effect only when the process is restarted.
+_RESTART_ONLY = (
     'instance',
     'zone',
     'ip',
@@ -36,23 +36,23 @@
 
 
 class SettingsHolder:
-    """The settings of this process."""
+    """The settings in force, of which only some can change at run time."""
 
     def __init__(self, settings: NodeSettings, load: LoadSettings) -> None:
-        """Start with settings that were read, and how to read them again."""
+        """Start with loaded settings, and the function that loads them."""
         self.current = settings
         self._load = load
         self._refused: list[Problem] = []
 
     def refresh(self) -> None:
-        """Read the file again and put in force what may change."""
+        """Load the file and apply the settings that can change at run time."""
         loaded = self._load()
         if isinstance(loaded, Failure):
-            self._note_refused(loaded.failure())
+            self._log_refused(loaded.failure())
             return
         self._refused = []
         offered = loaded.unwrap()
-        kept = {name: getattr(self.current, name) for name in _FIXED}
+        kept = {name: getattr(self.current, name) for name in _RESTART_ONLY}
         adopted = attrs.evolve(offered, **kept)
         if offered != adopted:
             record(
@@ -60,7 +60,7 @@
                 'settings_need_restart',
                 changed=[
                     name
-                    for name in _FIXED
+                    for name in _RESTART_ONLY
                     if getattr(offered, name) != kept[name]
                 ],
             )
@@ -69,8 +69,8 @@
             self.current = adopted
             record(_logger, 'settings_reloaded', changed=changed)
 
-    def _note_refused(self, problems: list[Problem]) -> None:
-        """Log what is wrong with the file, once."""
+    def _log_refused(self, problems: list[Problem]) -> None:
+        """Log the problems of the file, once until they change."""
         if problems != self._refused:
             self._refused = problems
             record(
@@ -81,19 +81,19 @@
 
 
 class SettingsWatch(BackgroundService):
-    """Looks at the file now and then."""
+    """Reloads the file periodically."""
 
     abstract = False
 
     def __init__(self, holder: SettingsHolder) -> None:
-        """Refresh a holder."""
+        """Prepare to refresh a holder; the first time one period later."""
         super().__init__()
         self._holder = holder
 
     @Service.task
     async def _watch(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(_LOOK_PERIOD)
+            await asyncio.sleep(_RELOAD_PERIOD)
             self._holder.refresh()
 
 
@@ -109,7 +109,7 @@
 
 
 def _flatten(settings: NodeSettings) -> dict[str, object]:
-    """Put settings and their bounds side by side, as the log writes them."""
+    """Map names to values, those of bounds as ``bounds.NAME``, for the log."""
     nested = attrs.asdict(settings)
     bounds = nested.pop('bounds')
     flat = {name: str(value) for name, value in nested.items()}
--- a/src/kelproad/coordination/ingress/rostering.py
+++ b/src/kelproad/coordination/ingress/rostering.py
@@ -1,7 +1,7 @@
-"""Finding the other instances in the platform's store.
+"""Discovery of the other instances through the platform's store.
 
-Each instance writes one row when it starts and reads all rows now and then;
-between that, a datagram from an instance is enough to know it.
+Each instance writes one row when it starts and reads all rows at long
+intervals; in between, a datagram from an instance is enough to discover it.
 """
 
 import asyncio
@@ -25,17 +25,17 @@
 __all__ = ['Roster', 'RosterStore']
 
 _logger = logging.getLogger(__name__)
-#: Bounds of the seconds between two readings of the rows.  Instances that
-#: start tell all others by datagram, so reading only finds whom a datagram did
-#: not reach.  They are those of a small site; a larger one reads more rarely,
-#: so that the calls to the store don't grow with it.
+#: Bounds of the seconds between two reads of the rows.  Starting instances
+#: send a datagram to all others, so a read only serves those that it did not
+#: reach.  The bounds are for a site of up to 8 instances; a larger one reads
+#: more rarely, so that the calls to the store don't grow with it.
 _READ_PERIODS = (8.0, 12.0)
 _SMALL_SITE = 8
 _RETRY_PERIOD = 0.5
 
 
 class _Row(msgspec.Struct):
-    """What an instance writes of itself."""
+    """The row of an instance, as stored in JSON."""
 
     host: str
     zone: str
@@ -44,14 +44,14 @@
 
 @attrs.frozen
 class RosterStore:
-    """How to write the own row and to read all of them."""
+    """How to write this instance's row and to read all rows."""
 
     write: Callable[[str, bytes], Awaitable[Result[None, StoreProblem]]]
     read: Callable[[], Awaitable[Result[TableState, StoreProblem]]]
 
 
 class Roster(BackgroundService):
-    """Enters this instance and introduces the others."""
+    """Registers this instance and discovers the others."""
 
     abstract = False
 
@@ -62,7 +62,7 @@
         exchange: WorkExchange,
         generator: random.Random,
     ) -> None:
-        """Introduce instances to an exchange."""
+        """Add discovered instances to the peers of an exchange."""
         super().__init__()
         self._settings = settings
         self._store = store
@@ -70,14 +70,14 @@
         self._generator = generator
 
     @Service.task
-    async def _keep(self) -> None:
-        await self._enter()
+    async def _maintain(self) -> None:
+        await self._register()
         # Of two instances that start together, at least the one that reads
-        # after the other has written finds it, and a datagram tells the other.
+        # after the other has written discovers it, and sends it a datagram.
         while not (self.should_stop or await self._read()):
             await asyncio.sleep(_RETRY_PERIOD)
         while not self.should_stop:
-            # Drawn at random, so that the instances don't all read at once.
+            # Chosen at random, so that the instances don't all read at once.
             live = self._exchange.peers.count_live(monotonic())
             await asyncio.sleep(
                 self._generator.uniform(*_READ_PERIODS)
@@ -85,7 +85,7 @@
             )
             await self._read()
 
-    async def _enter(self) -> None:
+    async def _register(self) -> None:
         row = _Row(self._settings.ip, self._settings.zone, time.time_ns())
         encoded = msgspec.json.encode(row)
         while not self.should_stop:
@@ -96,19 +96,21 @@
             await asyncio.sleep(_RETRY_PERIOD)
 
     async def _read(self) -> bool:
-        """Introduce the instances that have rows; tell whether that worked."""
+        """Add the instances that have rows; return whether the read worked."""
         found = await self._store.read()
         if isinstance(found, Failure):
-            # The followers of the store log that it is away.
-            _logger.debug('instances not read: %s', found.failure().message)
+            # The followers of the tables log that the store is unreachable.
+            _logger.debug(
+                'cannot read the rows of instances: %s', found.failure().message
+            )
             return False
         rows = found.unwrap().rows
         for row in rows:
-            self._introduce(row)
+            self._add(row)
         self._exchange.peers.keep_listed({row.key for row in rows}, monotonic())
         return True
 
-    def _introduce(self, row: StoredRow) -> None:
+    def _add(self, row: StoredRow) -> None:
         try:
             decoded = msgspec.json.decode(row.encoded or b'', type=_Row)
         except msgspec.DecodeError as error:
--- a/src/kelproad/coordination/ingress/settings.py
+++ b/src/kelproad/coordination/ingress/settings.py
@@ -9,22 +9,23 @@
 
 @attrs.frozen
 class Bounds:
-    """Figures that the site's operators hold the instances to, in seconds.
+    """Limits that operators set for the instances, times in seconds.
 
     Attributes
     ----------
     stop_grace
-        Time between the request to stop and the kill.
+        Time between the stop request (SIGTERM) and the kill.
     leave_endpoint
-        Time after which an endpoint that leaves gets nothing more.
+        Time after which a leaving endpoint must get no more calls.
     apply_configuration
         Time after which an accepted configuration must be in force.
     revoke_key
-        Time after which a key that was taken away must not work anywhere.
+        Time after which a revoked key must not work at any instance.
     retry_ratio, retry_slack
-        Retries permitted per call, and beyond that, of all instances together.
+        Retries permitted per call, and their number permitted beyond that, of
+        all instances together.
     longest_reservation
-        Longest time for which an engine reserves memory.
+        Longest time for which memory may be reserved at an engine.
     free_reservation
         Time after its last use in which reserved memory must be free.
     """
@@ -46,10 +47,10 @@
     Attributes
     ----------
     ready_address
-        Where the platform's balancer asks whether the instance is ready.
+        Where the platform's balancer checks whether the instance is ready.
     peer_port
-        Port at which instances send each other datagrams of their work, and
-        answer each other's calls.  The next one is that of their questions.
+        Port at which instances receive each other's datagrams of work (UDP),
+        and serve tables to each other (HTTP).  The next port is for queries.
     store_address
         Address of the platform's store.
     seed_hosts
@@ -68,5 +69,5 @@
 
     @property
     def query_port(self) -> int:
-        """Port at which instances ask each other by datagram."""
+        """UDP port at which instances receive each other's queries."""
         return self.peer_port + 1
