--- a/src/kelproad/coordination/ingress/__init__.py
+++ b/src/kelproad/coordination/ingress/__init__.py
@@ -1,8 +1,8 @@
-"""The routed interface: opaque calls, led by host and path to services.
+"""The routed interface: opaque calls, routed by host and path to services.
 
 ``entrance`` receives a call, ``dispatching`` has it answered, ``placing``
-chooses endpoints, ``relaying`` carries one attempt out.  ``following`` brings
-configuration and endpoints from the store, ``exchange`` tells peers of work in
-flight, ``node`` joins the parts.  How things are spelled on the wire comes from
-outside, as functions (``dialect``).
+chooses endpoints, ``attempts`` makes one attempt.  ``following`` reads
+configuration and endpoints from the store, ``relaying`` from other instances,
+``exchange`` reports work in flight to peers, ``node`` composes the components.
+The encoding on the wire is supplied from outside, as functions (``dialect``).
 """
--- a/src/kelproad/coordination/ingress/decoding.py
+++ b/src/kelproad/coordination/ingress/decoding.py
@@ -1,8 +1,8 @@
-"""States of a table with what their rows say, decoded once for all users.
+"""States of a table with decoded rows, decoded once for all users.
 
-Whoever reads the store compares each report of an endpoint with the last one
-that told something new, and enters it.  At large sites that is many reports a
-second, and half of what one takes is its decoding.
+A reader of the store compares each report of an endpoint with the last one that
+held new information, and registers it.  At large sites that is many reports a
+second, and decoding makes up half of the cost of each.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class DecodedRow(Generic[Said]):
-    """A row of the store with what it says."""
+    """A row of the store with its decoded content."""
 
     row: StoredRow
     said: Said
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class DecodedState(Generic[Said]):
-    """Rows of a table with what they say.
+    """Rows of a table with their decoded content.
 
     Attributes
     ----------
--- a/src/kelproad/coordination/ingress/dialect.py
+++ b/src/kelproad/coordination/ingress/dialect.py
@@ -1,7 +1,7 @@
-"""How calls, answers and engines' orders are spelled: functions from outside.
+"""Encoding of calls, answers and orders to engines, supplied by an adapter.
 
-The routed interface decides and relays; the adapter of a platform gives these
-functions, so that no decision depends on a name on the wire.
+The routed interface decides and relays; the adapter of a platform supplies
+these functions, so that no decision depends on a name on the wire.
 """
 
 from collections.abc import Callable
@@ -21,22 +21,22 @@
 
 @attrs.frozen
 class Dialect:
-    """Functions that decode and encode.
+    """Functions that decode and encode messages of a platform.
 
     Attributes
     ----------
     read_call_head
-        Decode what a caller sent.
+        Decode the head of a caller's request.
     encode_call
-        Encode a call for an endpoint, from the headers that the caller sent.
+        Encode the headers of a call to an endpoint, from those of the caller.
     read_answer_head
-        Decode an endpoint's answer to the request with an id.
+        Decode the head of an endpoint's answer to the request with an id.
     answer_own
-        Build the answer to a call that no endpoint answered.
+        Build the answer to a refused call, from refusal and request id.
     open_orders
-        Build what gives orders to engines over a session.
+        Build the client for orders to engines, over a session.
     ready_path
-        Path at which the balancer asks whether the instance is ready.
+        Path of the balancer's readiness checks.
     """
 
     read_call_head: Callable[[web.BaseRequest], Result[CallHead, Refusal]]
--- a/src/kelproad/coordination/ingress/holder.py
+++ b/src/kelproad/coordination/ingress/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and whether it is fresh enough to act on."""
+"""The configuration in force, which only a newer one replaces."""
 
 import logging
 
@@ -16,17 +16,17 @@
     """The newest configuration that this process has received."""
 
     def __init__(self) -> None:
-        """Start without one."""
+        """Start without a configuration."""
         self.current: RoutingConfiguration | None = None
 
     def offer(
         self,
         decoded: Result[RoutingConfiguration, str],
     ) -> bool:
-        """Put a newer configuration in force; leave an older one aside.
+        """Put a configuration in force if it is newer; return whether it was.
 
-        A late answer of the store may bring an older version; going back to
-        it would undo what operators have accepted since.
+        A delayed answer of the store may hold an older version; going back to
+        it would undo changes that operators have made since.
         """
         if isinstance(decoded, Failure):
             record(
--- a/src/kelproad/coordination/ingress/store.py
+++ b/src/kelproad/coordination/ingress/store.py
@@ -1,4 +1,4 @@
-"""What an instance needs of the platform's store: functions from outside."""
+"""Interface to the platform's store, supplied by an adapter."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class NodeStore:
-    """Tables of the store, and how their rows are decoded.
+    """Tables of the store, and the functions that decode their rows.
 
     Attributes
     ----------
--- a/src/kelproad/coordination/ingress/surfaces.py
+++ b/src/kelproad/coordination/ingress/surfaces.py
@@ -20,7 +20,7 @@
 __all__ = ['Surfaces', 'describe_endpoints', 'describe_work']
 
 #: Seconds that idle connections of callers are kept: longer than the idle time
-#: after which operators let callers reuse one.
+#: up to which operators let callers reuse one.
 _CALLER_KEEPALIVE = 120.0
 #: Largest header field in bytes that is read at all; operators limit the size
 #: of all headers, to 16 KiB at present, in the configuration.
