--- a/src/kelproad/coordination/ingress/exchange.py
+++ b/src/kelproad/coordination/ingress/exchange.py
@@ -214,7 +214,7 @@
         works: list[ToldWork],
         now: float,
     ) -> None:
-        """Report to each zone the work at its engines, or a sign of life."""
+        """Report to each zone the work at its engines, or a keep-alive."""
         for zone, members in remote.items():
             reported = [
                 work for work in works if self._find_zone(work.endpoint) == zone
