--- a/src/kelproad/coordination/limits.py
+++ b/src/kelproad/coordination/limits.py
@@ -1,15 +1,17 @@
-"""Limits of workspaces, shared by all instances without asking anyone.
-
-Every instance applies its share of each limit.  The share follows the part of
-the workspace's demand that arrives here, as gossip tells it, so that a balancer
-may send a workspace's requests anywhere; a small part of every limit is spread
-evenly, so that a request that arrives at another instance finds some.
-
-An instance that hears less than half of the members it knew is cut off, or the
-others are: its shares stand as they were.  One that hears half or more takes
-over the shares of those unheard, since they have most likely died.  So the
-overshoot during a partition is at most the share of the smaller side, and
-otherwise what demand moved within the time that gossip takes.
+"""Limits of workspaces, divided among the instances without coordination.
+
+Every instance enforces its share of each limit.  The share follows the fraction
+of the workspace's demand that arrives here, computed from gossip, so that a
+load balancer may send a workspace's requests to any instance.  A small fraction
+of every limit is divided evenly, so that an instance without recent demand of a
+workspace still has a share.
+
+An instance that receives gossip from less than half of the known members is
+partitioned off, or the others are: it freezes its shares.  One that receives
+gossip from half or more takes over the shares of the silent members, since they
+have most likely failed.  So the overshoot during a partition is at most the
+share of the smaller side, and otherwise the demand that moved between instances
+within the propagation delay of gossip.
 """
 
 import collections
@@ -32,39 +34,41 @@
 
 __all__ = ['WorkspaceLimits']
 
-#: Part of every limit that is spread evenly over the instances.
-_EVEN_PART = 0.2
-#: Seconds for which the members' demand is used before it is summed again.
-_SUM_SECONDS = 0.5
-#: Workspaces whose demand is told to other instances, the busiest first.
+#: Fraction of every limit that is divided evenly among the instances.
+_EVEN_FRACTION = 0.2
+#: Seconds for which a sum of the members' demand is reused.
+_SUM_PERIOD = 0.5
+#: Number of workspaces whose demand is advertised to peers, busiest first.
 MOST_TOLD = 32
-#: Bounds, in seconds, of what a refused caller is told to wait.
+#: Bounds of the Retry-After of a refusal, in seconds.
 _SHORTEST_WAIT = 0.05
 _LONGEST_WAIT = 60.0
-#: Wait, in multiples of a prompt's own time, from which a service is contended.
-_CONTENDED = 4.0
-#: And the part of its remaining time that the wait must take up.
-_WAIT_PART = 0.1
+#: Wait, as a multiple of a prompt's own time, above which prompts of its length
+#: class are contended.
+_CONTENDED_SLOWDOWN = 4.0
+#: Fraction of a request's remaining time that the wait must exceed as well.
+_CONTENDED_FRACTION = 0.1
 
 
 @attrs.define
-class _Told:
-    """What the members told, summed once for all requests of a period.
+class _PeerDemand:
+    """Demand advertised by the members, summed once a period.
 
     Attributes
     ----------
-    enough
-        At least half of the members known are heard.
+    has_quorum
+        Whether gossip arrives from at least half of the known members, this
+        instance included.
     """
 
     instances: int = 1
-    enough: bool = True
+    has_quorum: bool = True
     demand: collections.Counter[str] = attrs.field(factory=collections.Counter)
     summed_at: float = float('-inf')
 
 
 class WorkspaceLimits:
-    """Lets requests through within this instance's shares."""
+    """Admission of requests within this instance's shares of the limits."""
 
     def __init__(
         self,
@@ -72,48 +76,50 @@
         table: EndpointTable,
         counters: Counters,
     ) -> None:
-        """Share limits with the members of a table."""
+        """Divide the limits among the members of a table."""
         self._members = members
         self._table = table
         self._counters = counters
         self._usage: dict[str, Usage] = {}
-        self._held: dict[str, int] = {}
+        self._request_tokens: dict[str, int] = {}
         self._parts: dict[str, float] = {}
-        self._told = _Told()
+        self._peer_demand = _PeerDemand()
 
     def admit(self, request: Request) -> Result[Request, Refusal]:
-        """Let a request through, or refuse it with when to come back."""
+        """Admit a request, or refuse it with a Retry-After."""
         now = monotonic()
         workspace = request.workspace
         usage = self._usage.setdefault(workspace.name, Usage())
         usage.note_asked(request.prompt_tokens, now)
-        part = self._find_part(workspace.name, usage, now)
+        part = self._find_share(workspace.name, usage, now)
         wait, limit = _find_wait(workspace, usage, part, request, now)
         if wait > 0:
             self._counters.limited.inc({'limit': limit})
             return Failure(_refuse_limited(workspace, limit, wait))
         contention = self._table.measure_contention(request.prompt_tokens, now)
-        threshold = request.remaining(now) * _WAIT_PART
+        threshold = request.remaining(now) * _CONTENDED_FRACTION
         long_enough = contention.seconds > threshold
-        contended = long_enough and contention.slowdown > _CONTENDED
+        contended = long_enough and contention.slowdown > _CONTENDED_SLOWDOWN
         if contended and self._is_above_fair_share(request):
             self._counters.limited.inc({'limit': 'fair share'})
-            return Failure(_refuse_unfair(workspace, contention.seconds))
+            return Failure(
+                _refuse_above_fair_share(workspace, contention.seconds)
+            )
         _spend(workspace, usage, request.prompt_tokens)
         return Success(request)
 
     def begin(self, request: Request) -> None:
-        """Count a request's tokens as in flight."""
+        """Add a request's tokens to those in flight."""
         usage = self._usage.setdefault(request.workspace.name, Usage())
-        # A request in segments changes its length before it ends.
-        self._held[request.request_id] = request.prompt_tokens
+        # The length of a request in parts changes before it ends.
+        self._request_tokens[request.request_id] = request.prompt_tokens
         usage.in_flight += request.prompt_tokens
         usage.in_progress += 1
 
     def end(self, request: Request) -> None:
-        """Take a request that has its final answer out of the count."""
+        """Remove a request that has its final answer."""
         usage = self._usage[request.workspace.name]
-        tokens = self._held.pop(request.request_id)
+        tokens = self._request_tokens.pop(request.request_id)
         usage.in_flight -= tokens
         usage.in_progress -= 1
         usage.note_finished(tokens, monotonic())
@@ -124,17 +130,17 @@
         )
 
     def describe_demand(self) -> dict[str, Demand]:
-        """Describe the demand of the busiest workspaces for the peers."""
+        """Return the demand of the busiest workspaces, for the peers."""
         now = monotonic()
         demands = {
             name: usage.measure_demand(now)
             for name, usage in self._usage.items()
         }
-        self._forget_idle(demands)
+        self._drop_idle(demands)
         busiest = heapq.nlargest(
             MOST_TOLD,
             demands,
-            key=lambda name: _weigh_demand(demands[name]),
+            key=lambda name: _compute_load(demands[name]),
         )
         return {
             name: demands[name]
@@ -142,11 +148,11 @@
             if demands[name].requests or demands[name].in_flight
         }
 
-    def _forget_idle(self, demands: Mapping[str, Demand]) -> None:
-        """Drop the workspaces that ask for nothing here any more.
+    def _drop_idle(self, demands: Mapping[str, Demand]) -> None:
+        """Drop the workspaces without recent requests here.
 
-        A balancer brings every workspace to every instance sooner or later;
-        without this each would describe all of them for ever.
+        A load balancer sends every workspace to every instance sooner or
+        later; without this each would keep and describe all of them for ever.
         """
         for name, demand in demands.items():
             if self._usage[name].is_idle(demand):
@@ -154,64 +160,78 @@
                 self._parts.pop(name, None)
 
     def _is_above_fair_share(self, request: Request) -> bool:
-        """Tell whether a workspace has more in flight than its weight gives.
+        """Return whether a workspace has more in flight than its weight allows.
 
-        Everybody's tokens in flight are compared, here and as told by peers;
-        a workspace alone is never above its share.
+        The tokens in flight of all workspaces are compared, here and as
+        advertised by peers; a single workspace is never above its share.
         """
-        held = self._sum_in_flight()
-        own = request.workspace
-        if held.keys() <= {own.name}:
+        in_flight = self._sum_in_flight()
+        workspace = request.workspace
+        if in_flight.keys() <= {workspace.name}:
             return False
-        weight = _sum_weights(request.snapshot, {*held, own.name})
-        share = held.get(own.name, 0) / sum(held.values())
-        return share > own.weight / weight
+        weight = _sum_weights(request.snapshot, {*in_flight, workspace.name})
+        share = in_flight.get(workspace.name, 0) / sum(in_flight.values())
+        return share > workspace.weight / weight
 
     def _sum_in_flight(self) -> dict[str, int]:
-        held = {
+        in_flight = {
             name: usage.in_flight
             for name, usage in self._usage.items()
             if usage.in_flight
         }
         for member in self._members.live(monotonic()):
             for name, demand in member.demand.items():
-                held[name] = held.get(name, 0) + demand.in_flight
-        return {name: tokens for name, tokens in held.items() if tokens}
-
-    def _find_part(self, name: str, usage: Usage, now: float) -> float:
-        """Find the part of a workspace's limits that this instance applies."""
-        if now - self._told.summed_at >= _SUM_SECONDS:
-            self._told = self._sum_told(now)
-        if self._told.enough or name not in self._parts:
-            own = _weigh_demand(usage.measure_demand(now))
-            self._parts[name] = _compute_part(own, name, self._told)
+                in_flight[name] = in_flight.get(name, 0) + demand.in_flight
+        return {name: tokens for name, tokens in in_flight.items() if tokens}
+
+    def _find_share(self, name: str, usage: Usage, now: float) -> float:
+        """Return this instance's share of a workspace's limits."""
+        if now - self._peer_demand.summed_at >= _SUM_PERIOD:
+            self._peer_demand = self._sum_peer_demand(now)
+        if self._peer_demand.has_quorum or name not in self._parts:
+            local_load = _compute_load(usage.measure_demand(now))
+            self._parts[name] = _compute_share(
+                local_load, name, self._peer_demand
+            )
         return self._parts[name]
 
-    def _sum_told(self, now: float) -> _Told:
+    def _sum_peer_demand(self, now: float) -> _PeerDemand:
         live = self._members.live(now)
         known = list(self._members.known())
         demand: collections.Counter[str] = collections.Counter()
         for member in live:
-            for name, told in member.demand.items():
-                demand[name] += _weigh_demand(told)
+            for name, advertised in member.demand.items():
+                demand[name] += _compute_load(advertised)
         instances = len(live) + 1
-        return _Told(instances, instances * 2 >= len(known) + 1, demand, now)
+        return _PeerDemand(
+            instances,
+            instances * 2 >= len(known) + 1,
+            demand,
+            now,
+        )
 
 
 def _sum_weights(snapshot: Snapshot, names: set[str]) -> float:
-    """Sum the weights of workspaces; one that was removed has a plain 1."""
+    """Sum the weights of workspaces; a removed one counts as 1."""
     found = [snapshot.workspaces.get(name) for name in names]
     return sum(workspace.weight if workspace else 1 for workspace in found)
 
 
-def _compute_part(own: float, name: str, told: _Told) -> float:
-    total = own + told.demand[name]
-    by_demand = own / total if total else 1
-    return _EVEN_PART / told.instances + (1 - _EVEN_PART) * by_demand
+def _compute_share(
+    local_load: float,
+    name: str,
+    peer_demand: _PeerDemand,
+) -> float:
+    total = local_load + peer_demand.demand[name]
+    by_demand = local_load / total if total else 1
+    return (
+        _EVEN_FRACTION / peer_demand.instances
+        + (1 - _EVEN_FRACTION) * by_demand
+    )
 
 
-def _weigh_demand(demand: Demand) -> float:
-    # A request costs something even if its prompt is empty.
+def _compute_load(demand: Demand) -> float:
+    # Every request counts as one token more, so an empty prompt costs too.
     return demand.tokens + demand.requests
 
 
@@ -222,7 +242,10 @@
     request: Request,
     now: float,
 ) -> tuple[float, str]:
-    """Return how long the tightest limit makes a request wait, and its name."""
+    """Return the seconds to wait for the tightest limit, and its name.
+
+    ``part`` is this instance's share of the limits.
+    """
     limits = workspace.limits
     waits = [(float(0), '')]
     if limits.requests_per_second is not None:
@@ -235,7 +258,7 @@
         waits.append((usage.tokens.wait(rate), 'tokens per second'))
     if limits.tokens_in_flight is not None:
         room = limits.tokens_in_flight * part - usage.in_flight
-        # A prompt above the share goes alone, or it would never go.
+        # A prompt larger than the share runs alone, or it would never run.
         fits = request.prompt_tokens <= room or not usage.in_progress
         missing = request.prompt_tokens - room
         wait = 0 if fits else usage.wait_for(missing, now)
@@ -259,7 +282,7 @@
     )
 
 
-def _refuse_unfair(workspace: Workspace, wait: float) -> Refusal:
+def _refuse_above_fair_share(workspace: Workspace, wait: float) -> Refusal:
     return Refusal(
         RefusalCode.LIMIT_EXCEEDED,
         f'workspace {workspace.name!r} has more than its share in flight '
--- a/src/kelproad/coordination/routing.py
+++ b/src/kelproad/coordination/routing.py
@@ -1,7 +1,7 @@
-"""Choosing the endpoint of an attempt.
+"""Selection of the endpoint for an attempt.
 
-A prompt's length class sets its priority at the engine and how many endpoints
-are sampled.
+A prompt's length class determines its priority at the engine and how many
+endpoints are sampled.
 """
 
 import random
@@ -30,11 +30,12 @@
     'note_first_token',
 ]
 
-#: Seconds of waiting up to which an endpoint of the own zone is good enough.
-_SOON_SECONDS = 0.01
-#: How much better an endpoint of another zone must be.
-_STAY_RATIO = 1.25
-#: Seconds after which a refused caller may find capacity, at the least.
+#: Predicted wait, in seconds, up to which a local endpoint is chosen without
+#: comparing it with other zones.
+_SHORT_WAIT = 0.01
+#: Factor by which the best score of all must be lower than the best local one.
+_CROSSING_RATIO = 1.25
+#: Shortest Retry-After of a request without an endpoint, in seconds.
 MINIMUM_RETRY_AFTER = 0.5
 
 _NONE: frozenset[str] = frozenset()
@@ -51,7 +52,7 @@
 
 
 def choose_priority(request: Request) -> int:
-    """Choose the priority of a request at the engine; lower goes first."""
+    """Choose a request's priority at the engine; lower values run first."""
     if _policy_of(request.snapshot) in _WITHOUT_PRIORITY:
         return LengthClass.SHORT
     return classify_length(request.prompt_tokens)
@@ -65,36 +66,36 @@
     generator: random.Random,
     tried: frozenset[str] = _NONE,
 ) -> Result[Choice, Refusal]:
-    """Choose an endpoint by the policy of the deployment.
+    """Choose an endpoint by the deployment's routing policy.
 
     Parameters
     ----------
     request
         The request to place.
     table
-        Endpoints as known here.
+        Endpoints as known to this instance.
     zone
-        The instance's own availability zone.
+        Availability zone of this instance.
     now
         Monotonic time, in seconds.
     generator
-        Source of the samples.
+        Random generator for sampling.
     tried
-        Endpoints that this request must not be sent to again.
+        Endpoints to exclude, since the request was already sent to them.
 
     Returns
     -------
     Result
-        The choice, or a refusal that says when to come back.
+        The choice, or a refusal with a Retry-After.
     """
     search = Search(request, table, zone, now, generator, tried)
     choose = BASELINES.get(_policy_of(request.snapshot), _choose_predicted)
     choice = choose(search)
     if choice is None:
-        return Failure(_refuse_none(request))
+        return Failure(_refuse_no_endpoint(request))
     best = choice.best
-    computing = best.predicted - best.waiting
-    table.note_contention(request.prompt_tokens, best.waiting, computing, now)
+    own_time = best.predicted - best.waiting
+    table.note_contention(request.prompt_tokens, best.waiting, own_time, now)
     late = measure_lateness(table, best, request, now)
     if late > 0:
         return Failure(refuse_hopeless(request, best, late))
@@ -109,7 +110,7 @@
     generator: random.Random,
     tried: frozenset[str],
 ) -> bool:
-    """Tell whether any endpoint could take a request, and choose none.
+    """Return whether any endpoint could accept a request.
 
     The parameters are those of ``choose_endpoint``.
     """
@@ -123,7 +124,7 @@
     request: Request,
     now: float,
 ) -> None:
-    """Learn from a first token: the endpoint's rate, the prefix it holds."""
+    """Update the endpoint's learned rate and cached prefixes."""
     endpoint = choice.endpoint
     endpoint.end_prefill(request.prompt_tokens)
     learn_rate(choice.best, request.prompt_tokens, now - choice.chosen_at)
@@ -143,25 +144,28 @@
 
 
 def _choose_predicted(search: Search) -> Choice | None:
-    """Choose the best of a few, the own zone first.
+    """Choose the best of a sample, the local zone first.
 
-    Another zone must be better by more than the error of the prediction, since
-    crossing costs more than time.
+    Another zone must be better by more than the prediction error, since
+    crossing zones costs more than time.
     """
-    near = _weigh_sample(search, search.zone)
-    best_near = _find_best(near)
-    if best_near is not None and best_near.waiting <= _SOON_SECONDS:
-        return Choice(best_near, near, search.now)
-    everywhere = _weigh_sample(search, None)
-    best = _find_best(near + everywhere)
+    local_sample = _score_sample(search, search.zone)
+    best_local = _find_best(local_sample)
+    if best_local is not None and best_local.waiting <= _SHORT_WAIT:
+        return Choice(best_local, local_sample, search.now)
+    full_sample = _score_sample(search, None)
+    best = _find_best(local_sample + full_sample)
     if best is None:
         return None
-    if best_near is not None and best_near.score <= best.score * _STAY_RATIO:
-        best = best_near
-    return Choice(best, near + everywhere, search.now)
+    if (
+        best_local is not None
+        and best_local.score <= best.score * _CROSSING_RATIO
+    ):
+        best = best_local
+    return Choice(best, local_sample + full_sample, search.now)
 
 
-def _weigh_sample(search: Search, zone: str | None) -> list[Candidate]:
+def _score_sample(search: Search, zone: str | None) -> list[Candidate]:
     size = _SAMPLE_SIZES[classify_length(search.request.prompt_tokens)]
     sampled = draw(search, zone, size)
     names = {endpoint.name for endpoint in sampled}
@@ -174,10 +178,10 @@
 
 
 def _list_with_prefix(search: Search) -> list[Endpoint]:
-    """List the endpoints that may have computed the prompt's beginning.
+    """List the endpoints that may have the prompt's prefix cached.
 
-    They are weighed with all others, so a queue that is longer than the
-    prefix is worth sends the prompt elsewhere.
+    They are scored like all others, so the prompt goes elsewhere when the
+    queue takes longer than the cached prefix saves.
     """
     table = search.table
     found = map(table.get, table.prefixes.list_endpoints(search.request.prefix))
@@ -199,7 +203,7 @@
     )
 
 
-def _refuse_none(request: Request) -> Refusal:
+def _refuse_no_endpoint(request: Request) -> Refusal:
     return Refusal(
         RefusalCode.NO_CAPACITY,
         f'no endpoint of {request.service.name!r} can take the request now',
