--- a/src/kelproad/coordination/attempts.py
+++ b/src/kelproad/coordination/attempts.py
@@ -1,9 +1,9 @@
 """The attempts at answering one completion, as a single stream of events.
 
-An attempt is dispatched and relayed.  When it fails, another endpoint may be
-given the request if the work may be repeated and the caller's answer can
-still become whole: from the start while nothing has reached the caller, else
-behind what it has.
+An attempt is dispatched and its events are relayed.  When it fails, the request
+may go to another endpoint if the work may be repeated and the caller's answer
+can still be completed: from the start while nothing has reached the caller,
+otherwise by continuing the delivered text.
 """
 
 import random
@@ -32,14 +32,16 @@
 __all__ = ['Attempts', 'CallerGoneError']
 
 _MAX_ATTEMPTS = 3
-#: Seconds after which an attempt without a token has stalled, not failed.
+#: Seconds after which an attempt that ends without a token counts as stalled
+#: instead of failed.
 _STALL_SECONDS = 1.0
-#: Bytes of events kept for continuing streams elsewhere, for one answer and
-#: for all; an answer beyond them is delivered, but no more continued.
+#: Bytes of events kept for continuing streams at another endpoint, per answer
+#: and in total.  An answer beyond them is still delivered, but can no longer be
+#: continued.
 _KEPT_PER_ANSWER = 1_048_576
-_KEPT_IN_ALL = 33_554_432
-#: What another endpoint would end with as well: the time is over, the request
-#: is at fault, or this process has no memory for the answer.
+_KEPT_IN_TOTAL = 33_554_432
+#: Failures that another endpoint can't help: the deadline has passed, the
+#: request is invalid, or this process has no memory for the answer.
 _FINAL_CODES = (
     RefusalCode.DEADLINE_EXCEEDED,
     RefusalCode.BAD_REQUEST,
@@ -50,7 +52,7 @@
 
 @attrs.define
 class _Placement:
-    """An attempt and the endpoint it is sent to."""
+    """An attempt and the endpoint that it is sent to."""
 
     attempt: Attempt
     endpoint: Endpoint
@@ -63,7 +65,7 @@
 
 
 class Attempts:
-    """Turns requests into streams of checked events."""
+    """Dispatch of requests to engines, with retries at other endpoints."""
 
     def __init__(
         self,
@@ -82,7 +84,7 @@
         self._counters = counters
         self._generator = generator
         self._retries = Retries(counters, generator)
-        self._budget = BufferBudget(_KEPT_IN_ALL, _KEPT_PER_ANSWER)
+        self._kept_budget = BufferBudget(_KEPT_IN_TOTAL, _KEPT_PER_ANSWER)
 
     async def answer(
         self,
@@ -99,8 +101,8 @@
         Returns
         -------
         Result
-            Success after the terminal event, else why the request is given
-            up and whether it ran.
+            Success after the terminal event, otherwise the reason for giving
+            up and whether the request ran.
 
         Raises
         ------
@@ -108,15 +110,15 @@
             As the sink does.
         """
         self._retries.count_request(request)
-        answer = Answer(request, path, body, sink, self._budget)
+        answer = Answer(request, path, body, sink, self._kept_budget)
         tried: frozenset[str] = frozenset()
-        outcome: Result[None, Refusal] = Failure(_no_attempt_left())
+        outcome: Result[None, Refusal] = Failure(_refuse_without_attempts())
         while len(tried) < _MAX_ATTEMPTS:
             placed = self._place(answer, tried, decision)
             if isinstance(placed, Failure):
                 refused = attrs.asdict(placed.failure())
                 decision.note('not routed', refusal=refused)
-                # Without another endpoint, the last attempt's refusal stands.
+                # Without another endpoint, report the last attempt's refusal.
                 return outcome if tried else placed
             placement = placed.unwrap()
             tried |= {placement.endpoint.name}
@@ -134,10 +136,10 @@
         return outcome
 
     def suggest_pause(self, request: Request) -> float:
-        """Return the seconds after which another try is likely to be served.
+        """Return the seconds after which a repeated request may succeed.
 
-        Prompts of that length wait so long at present.  Without a queue there
-        is still a shortest pause, in which the word of a failure spreads.
+        This is the present wait of prompts of that length.  Without a queue a
+        minimum applies, within which news of a failed endpoint spreads.
         """
         now = monotonic()
         contention = self._table.measure_contention(request.prompt_tokens, now)
@@ -156,7 +158,7 @@
             self._identity.zone,
             monotonic(),
             self._generator,
-            tried | self._list_unfit(answer),
+            tried | self._list_without_continuation(answer),
         )
         if isinstance(choice, Failure):
             return choice
@@ -181,10 +183,10 @@
         answer: Answer,
         tried: frozenset[str],
     ) -> bool:
-        """Tell whether another attempt could follow the present one.
+        """Return whether another attempt could follow the present one.
 
-        A silent engine is left for another one.  With the budget of retries
-        spent that would end the request, and it might yet be answered here.
+        A silent engine is abandoned for another one.  When the retry budget is
+        exhausted, that would end a request which might yet be answered here.
         """
         request = answer.request
         if len(tried) >= _MAX_ATTEMPTS or not request.repeatable:
@@ -197,11 +199,11 @@
             self._identity.zone,
             monotonic(),
             self._generator,
-            tried | self._list_unfit(answer),
+            tried | self._list_without_continuation(answer),
         )
 
-    def _list_unfit(self, answer: Answer) -> frozenset[str]:
-        """List the endpoints that cannot go on behind what was delivered."""
+    def _list_without_continuation(self, answer: Answer) -> frozenset[str]:
+        """List the endpoints that cannot continue a partly delivered answer."""
         if answer.continuation is None:
             return frozenset()
         return frozenset(
@@ -227,9 +229,9 @@
         except DeliveryError as error:
             outcome = Failure(error.refusal)
         finally:
-            # Also when the caller left or the deadline passed, which end the
-            # relay by an exception.
-            self._settle(request, placement, relay, outcome)
+            # Also when the caller disconnected or the deadline passed, which
+            # end the relay by an exception.
+            self._end_attempt(request, placement, relay, outcome)
         return outcome
 
     def _create_relay(self, answer: Answer, placement: _Placement) -> Relay:
@@ -253,30 +255,30 @@
                 placement.choice.predicted,
                 request.remaining(monotonic()),
             ),
-            lambda: self._note_first_token(request, placement),
+            lambda: self._record_first_token(request, placement),
         )
 
-    def _settle(
+    def _end_attempt(
         self,
         request: Request,
         placement: _Placement,
         relay: Relay,
         outcome: Result[None, Refusal] | None,
     ) -> None:
-        """Take an ended attempt out of the accounts, on every path."""
+        """Update the accounts after an attempt, however it ended."""
         endpoint = placement.endpoint
         endpoint.own_requests -= 1
         if not placement.first_token:
             endpoint.end_prefill(request.prompt_tokens)
         label = _label_outcome(outcome)
         if outcome is not None:
-            self._note_outcome(request, placement, outcome)
+            self._record_outcome(request, placement, outcome)
         attempt_id = placement.attempt.attempt_id
         if relay.finished or _never_ran(outcome):
             self._canceller.drop(attempt_id)
         else:
-            # The engine may hold the stream's memory, and nobody else knows
-            # of it yet.
+            # The engine may still hold the stream's memory, and no other
+            # instance knows of the attempt yet.
             self._canceller.cancel(attempt_id, label)
         self._counters.attempts.inc(
             {'group': endpoint.group.name, 'outcome': label},
@@ -286,13 +288,13 @@
         dropped.add({'reason': 'crossed'}, sequence.crossed)
         dropped.add({'reason': 'repeated'}, sequence.repeated)
 
-    def _note_outcome(
+    def _record_outcome(
         self,
         request: Request,
         placement: _Placement,
         outcome: Result[None, Refusal],
     ) -> None:
-        """Let the endpoint's record know how the attempt ended."""
+        """Record how the attempt ended as a success, failure or stall."""
         now = monotonic()
         choice = placement.choice
         refusal = outcome.swap().value_or(None)
@@ -305,7 +307,7 @@
             tokens = request.prompt_tokens
             note_stall(self._table, choice, tokens, now, self._counters)
 
-    def _note_first_token(
+    def _record_first_token(
         self,
         request: Request,
         placement: _Placement,
@@ -339,7 +341,7 @@
 
 
 def _may_repeat(request: Request, refusal: Refusal) -> bool:
-    """Tell whether another endpoint may be given the request.
+    """Return whether the request may be sent to another endpoint.
 
     Work that may have run is repeated only if it is idempotent.
     """
@@ -350,7 +352,7 @@
     return refusal.ran is Ran.NO or request.repeatable
 
 
-def _no_attempt_left() -> Refusal:
+def _refuse_without_attempts() -> Refusal:
     return Refusal(
         RefusalCode.NO_CAPACITY,
         'no attempt is left',
--- a/src/kelproad/coordination/limits.py
+++ b/src/kelproad/coordination/limits.py
@@ -165,24 +165,24 @@
         The tokens in flight of all workspaces are compared, here and as
         advertised by peers; a single workspace is never above its share.
         """
-        in_flight = self._sum_in_flight()
+        held = self._sum_in_flight()
         workspace = request.workspace
-        if in_flight.keys() <= {workspace.name}:
+        if held.keys() <= {workspace.name}:
             return False
-        weight = _sum_weights(request.snapshot, {*in_flight, workspace.name})
-        share = in_flight.get(workspace.name, 0) / sum(in_flight.values())
+        weight = _sum_weights(request.snapshot, {*held, workspace.name})
+        share = held.get(workspace.name, 0) / sum(held.values())
         return share > workspace.weight / weight
 
     def _sum_in_flight(self) -> dict[str, int]:
-        in_flight = {
+        held = {
             name: usage.in_flight
             for name, usage in self._usage.items()
             if usage.in_flight
         }
         for member in self._members.live(monotonic()):
             for name, demand in member.demand.items():
-                in_flight[name] = in_flight.get(name, 0) + demand.in_flight
-        return {name: tokens for name, tokens in in_flight.items() if tokens}
+                held[name] = held.get(name, 0) + demand.in_flight
+        return {name: tokens for name, tokens in held.items() if tokens}
 
     def _find_share(self, name: str, usage: Usage, now: float) -> float:
         """Return this instance's share of a workspace's limits."""
--- a/src/kelproad/coordination/retries.py
+++ b/src/kelproad/coordination/retries.py
@@ -1,9 +1,9 @@
 """Whether and when a failed request is sent to another endpoint.
 
-Without a budget, failing engines multiply the load on those that are left:
+Without a budget, failing engines multiply the load on the remaining ones:
 every request is sent several times, the healthy engines slow down, deadlines
-pass, and more requests fail.  With one, retries stay a small share whatever
-fails.
+pass, and more requests fail.  With a budget, retries stay a small fraction of
+the requests, whatever fails.
 """
 
 import asyncio
@@ -17,17 +17,17 @@
 
 __all__ = ['Retries']
 
-#: Retries of one service that can be saved up.
+#: Maximum number of unused retries that a service accumulates.
 _BURST = 10
-#: Retries a second that every service has, however few its requests.
-_LEAST_PER_SECOND = 2.0
-#: Bound on the first pause, in seconds; each further one may be twice as long.
-_FIRST_PAUSE = 0.02
-_FALLBACK = Deployment('', [])
+#: Retries a second granted to every service, however few its requests.
+_MIN_PER_SECOND = 2.0
+#: Upper bound of the first backoff, in seconds; doubled for each further one.
+_FIRST_BACKOFF = 0.02
+_DEFAULT_DEPLOYMENT = Deployment('', [])
 
 
 class Retries:
-    """Budgets by service, and pauses that spread retries out."""
+    """Retry budgets by service, and randomized exponential backoff."""
 
     def __init__(self, counters: Counters, generator: random.Random) -> None:
         """Start with a full budget for each service."""
@@ -36,32 +36,32 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def count_request(self, request: Request) -> None:
-        """Let a request earn its share of a retry."""
-        deployment = request.snapshot.deployment or _FALLBACK
+        """Credit the service's budget for one request."""
+        deployment = request.snapshot.deployment or _DEFAULT_DEPLOYMENT
         budget = self._budgets.setdefault(
             request.service.name,
             RetryBudget(
                 deployment.retry_budget_percent,
                 _BURST,
-                _LEAST_PER_SECOND,
+                _MIN_PER_SECOND,
             ),
         )
         budget.percent = deployment.retry_budget_percent
         budget.earn(monotonic())
 
     def affords(self, request: Request) -> bool:
-        """Tell whether a retry would be permitted as far as the budget goes."""
+        """Return whether the service's budget has a retry left."""
         return self._budgets[request.service.name].affords_one
 
     async def permit(self, request: Request, decision: Decision) -> bool:
-        """Wait a little and permit a retry, or refuse one at once.
+        """Wait for the backoff and permit a retry, or refuse it at once.
 
-        The pause is drawn at random, so that requests which failed together
-        do not come again together.
+        The backoff is random, so that requests which failed at the same time
+        are not repeated at the same time.
         """
         pause = self._generator.uniform(
             0,
-            _FIRST_PAUSE * 2 ** max(request.attempts - 1, 0),
+            _FIRST_BACKOFF * 2 ** max(request.attempts - 1, 0),
         )
         outcome = 'permitted'
         if request.remaining(monotonic()) <= pause:
