--- a/src/kelproad/coordination/prediction.py
+++ b/src/kelproad/coordination/prediction.py
@@ -1,9 +1,9 @@
-"""Predicting an endpoint's time to first token, and weighing it.
+"""Prediction of an endpoint's time to first token, and its score.
 
-The queue ahead is what would be computed before the prompt: with priorities
-only the work of its own and higher classes.  What instances tell of their work
-and what the engine reports are joined so that nothing counts twice and nothing
-is forgotten.
+The queue ahead is the work that would be prefilled before the prompt: with
+priorities only that of its own and higher classes.  The work advertised by
+instances and the load reported by the engine are combined so that no work is
+counted twice or missed.
 """
 
 import attrs
@@ -16,39 +16,41 @@
 
 __all__ = ['Candidate', 'learn_rate', 'weigh_endpoint']
 
-#: Cost, in seconds, of leaving the instance's own availability zone.
+#: Cost, in seconds, of sending a request to another availability zone.
 ZONE_CROSSING_SECONDS = 0.01
-#: Tokens that an engine computes without a break.
+#: Tokens that an engine prefills without interruption.
 _CHUNK_TOKENS = 4096
-#: Prompt tokens below which the time to first token tells little of the rate.
-_LEAST_OBSERVED = 1500
+#: Prompt tokens below which the time to first token is too noisy an estimate of
+#: the prefill rate.
+_MIN_OBSERVED_TOKENS = 1500
 #: Predicted seconds of one call in progress at a plain endpoint.
 _PLAIN_CALL_SECONDS = 0.01
-#: Weight of the first token that keeps the ratio of weights finite.
-_LEAST_WEIGHT = 0.01
-#: How long an endpoint that came back looks worse, and by how much at first.
+#: Lower bound of the first token's weight; it keeps the ratio of weights finite.
+_MIN_WEIGHT = 0.01
+#: Seconds of slow start after an ejection, and the factor, less one, by which
+#: the prediction is raised at its beginning.
 _SLOW_START_SECONDS = 10.0
 _SLOW_START_PENALTY = 4.0
-_EVEN = Objective()
+_DEFAULT_OBJECTIVE = Objective()
 
 
 @attrs.frozen
 class Candidate:
-    """An endpoint as weighed for one request.
+    """An endpoint as scored for one request.
 
     Attributes
     ----------
     predicted
         Seconds to the first token.
     score
-        What is minimized: the prediction, and the harm to short requests as
-        the deployment's objective weighs it.
+        Value to minimize: the prediction plus the delay of short requests,
+        weighted by the deployment's objective.
     waiting
-        Seconds of the prediction before the prompt itself is computed.
+        Seconds of the prediction before the prompt's own prefill begins.
     ahead
-        Prompt tokens that go before this prompt.
+        Prompt tokens that are prefilled before this prompt.
     cached
-        Tokens of the prompt that need not be computed.
+        Tokens of the prompt that are in the engine's prefix cache.
     """
 
     endpoint: Endpoint
@@ -63,25 +65,27 @@
     """Predict one endpoint's time to first token and score it."""
     request = search.request
     crossing = endpoint.declaration.zone != search.zone
-    apart = crossing * ZONE_CROSSING_SECONDS
+    crossing_time = crossing * ZONE_CROSSING_SECONDS
     if endpoint.group.kind is EndpointKind.PLAIN:
-        seconds = endpoint.own_requests * _PLAIN_CALL_SECONDS + apart
-        return Candidate(endpoint, seconds, seconds, seconds - apart)
+        seconds = endpoint.own_requests * _PLAIN_CALL_SECONDS + crossing_time
+        return Candidate(endpoint, seconds, seconds, seconds - crossing_time)
     cached = _count_cached(search, endpoint)
     ahead = count_ahead(endpoint, request.prompt_tokens, search.now)
     to_compute = max(request.prompt_tokens - cached, 1)
-    before = (
+    queued = (
         ahead
         + _count_chunk_rest(endpoint, request)
-        + _count_memory_short(endpoint, request)
+        + _count_missing_memory(endpoint, request)
     )
-    waiting = before / endpoint.tokens_per_second
-    predicted = waiting + to_compute / endpoint.tokens_per_second + apart
-    started = _count_slow_start(endpoint, search.now)
+    waiting = queued / endpoint.tokens_per_second
+    predicted = (
+        waiting + to_compute / endpoint.tokens_per_second + crossing_time
+    )
+    slow_start = _compute_slow_start(endpoint, search.now)
     return Candidate(
         endpoint,
         predicted,
-        predicted * started + _weigh_harm(endpoint, request),
+        predicted * slow_start + _compute_delay_cost(endpoint, request),
         waiting,
         ahead,
         cached,
@@ -89,21 +93,22 @@
 
 
 def count_ahead(endpoint: Endpoint, prompt_tokens: int, now: float) -> float:
-    """Count the prompt tokens that would be computed before a prompt.
+    """Count the prompt tokens that would be prefilled before a prompt.
 
-    A fresh report bounds what instances tell, which counts a prompt in full
-    until its first token.  Work that is reported and that nobody told of, of
-    an instance that is cut off or has died, is added.
+    Instances advertise a prompt in full until its first token, so a recent
+    report of the engine bounds their sum.  Reported work that no instance
+    advertised, because its instance is partitioned off or has failed, is
+    added.
     """
     ranks = len(LengthClass)
     if endpoint.group.honours_priorities:
         ranks = classify_length(prompt_tokens) + 1
-    told = sum(endpoint.own_by_class[:ranks])
-    told += sum(endpoint.peer_by_class[:ranks])
+    advertised = sum(endpoint.own_by_class[:ranks])
+    advertised += sum(endpoint.peer_by_class[:ranks])
     if endpoint.report is None or now - endpoint.reported_at > SILENT_AFTER:
-        return told
+        return advertised
     reported = endpoint.report.waiting_tokens + endpoint.unreported_tokens
-    return min(told, reported) + max(0, reported - endpoint.known_tokens)
+    return min(advertised, reported) + max(0, reported - endpoint.known_tokens)
 
 
 def learn_rate(
@@ -111,33 +116,34 @@
     prompt_tokens: int,
     seconds: float,
 ) -> None:
-    """Learn an endpoint's rate from a first token that came.
+    """Update an endpoint's prefill rate from a time to first token.
 
-    Baselines predict nothing, so nothing can be learned from their choices.
+    Baseline policies don't predict, so their choices are ignored.
     """
     if not candidate.predicted:
         return
     tokens = candidate.ahead + prompt_tokens - candidate.cached
-    if tokens >= _LEAST_OBSERVED and seconds > 0:
+    if tokens >= _MIN_OBSERVED_TOKENS and seconds > 0:
         candidate.endpoint.observe_rate(tokens / seconds)
 
 
 def _count_chunk_rest(endpoint: Endpoint, request: Request) -> float:
-    """Count what is left, on average, of a chunk that is being computed.
+    """Count the tokens left, on average, of the chunk being prefilled.
 
-    With priorities a prompt waits for the end of the chunk of any lower
-    class; without, the whole of it is ahead already.
+    With priorities a prompt waits for the end of the current chunk of any
+    lower class; without, the chunk is part of the queue ahead already.
     """
     if not endpoint.group.honours_priorities:
         return 0
     return _CHUNK_TOKENS / 2 if _has_longer(endpoint, request) else 0
 
 
-def _count_slow_start(endpoint: Endpoint, now: float) -> float:
-    """Return the factor by which an endpoint that came back looks worse.
+def _compute_slow_start(endpoint: Endpoint, now: float) -> float:
+    """Return the slow-start factor of the prediction.
 
-    Its caches are empty and what made it fail may last; work sent at once by
-    every instance would fail with it.
+    After an ejection the endpoint's caches are empty and the cause of its
+    failures may persist; without the factor, all instances would send work at
+    once, which would fail with it.
     """
     since = now - endpoint.restored_at
     left = max(0, 1 - since / _SLOW_START_SECONDS)
@@ -146,12 +152,12 @@
 
 def _has_longer(endpoint: Endpoint, request: Request) -> bool:
     rank = classify_length(request.prompt_tokens) + 1
-    own = any(endpoint.own_by_class[rank:])
-    return own or any(endpoint.peer_by_class[rank:])
+    here = any(endpoint.own_by_class[rank:])
+    return here or any(endpoint.peer_by_class[rank:])
 
 
-def _count_memory_short(endpoint: Endpoint, request: Request) -> float:
-    """Count the tokens that must be freed before the prompt fits."""
+def _count_missing_memory(endpoint: Endpoint, request: Request) -> float:
+    """Count the tokens of memory to be freed before the prompt fits."""
     report = endpoint.report
     if report is None:
         return 0
@@ -164,8 +170,8 @@
     report = endpoint.report
     if not search.request.prefix or report is None:
         return 0
-    # Other instances fill the engine's cache as well; they are taken to send
-    # as much as this one.
+    # Other instances fill the engine's cache too; assume that each sends as
+    # much as this one.
     room = endpoint.group.cache_tokens // search.table.instances
     cached = search.table.prefixes.count_cached(
         search.request.prefix,
@@ -176,13 +182,14 @@
     return min(cached, search.request.prompt_tokens)
 
 
-def _weigh_harm(endpoint: Endpoint, request: Request) -> float:
-    """Weigh, in seconds, what a longer prompt does to short ones.
+def _compute_delay_cost(endpoint: Endpoint, request: Request) -> float:
+    """Return the cost, in seconds, of delaying short prompts by a longer one.
 
-    On an engine that has no longer work, it makes every short prompt wait for
-    the rest of a chunk while it is computed; on one that has, it changes
-    nothing.  So it is worth waiting a share of its own time to go where longer
-    ones are already.  The objective's weights set that share.
+    On an engine without longer prompts, each short prompt has to wait for the
+    rest of a chunk during the longer one's prefill; on an engine that has
+    longer prompts already, nothing changes.  So a longer prompt may wait for
+    some fraction of its own time to join other longer ones.  The objective's
+    weights determine that fraction.
     """
     if classify_length(request.prompt_tokens) is LengthClass.SHORT:
         return 0
@@ -190,6 +197,6 @@
     if any(longer):
         return 0
     deployment = request.snapshot.deployment
-    objective = deployment.objective if deployment else _EVEN
-    worth = objective.slowdown / max(objective.first_token, _LEAST_WEIGHT)
+    objective = deployment.objective if deployment else _DEFAULT_OBJECTIVE
+    worth = objective.slowdown / max(objective.first_token, _MIN_WEIGHT)
     return worth * request.prompt_tokens / endpoint.tokens_per_second / 2
