--- a/src/kelproad/coordination/ejection.py
+++ b/src/kelproad/coordination/ejection.py
@@ -1,10 +1,11 @@
-"""Taking failing endpoints out for a while, and back in step by step.
+"""Temporary ejection of failing endpoints, and their gradual return.
 
 An endpoint that fails several times in a row gets no work for some seconds.
-Then a single request that may be repeated probes it; success lets it back in
-slowly, failure keeps it out for twice as long.  Only a bounded share of a group
-is ever out: when most endpoints fail, the cause is elsewhere, and taking them
-all out would turn a partial failure into a whole one.
+Then a single request that may be repeated probes it: after a success it returns
+with a slow start, after a failure it stays ejected for twice as long.  Only a
+bounded fraction of a group is ejected at a time: when most endpoints fail, the
+cause is elsewhere, and ejecting them all would turn a partial outage into a
+complete one.
 """
 
 from ..state.counters import Counters
@@ -16,12 +17,13 @@
 
 __all__ = ['note_outcome', 'note_stall']
 
-#: Failures in a row that take an endpoint out.
-_FAILURES = 3
+#: Consecutive failures after which an endpoint is ejected.
+_MAX_FAILURES = 3
+#: Seconds of the first ejection, and of the longest.
 _FIRST_SECONDS = 5.0
 _LONGEST_SECONDS = 60.0
-#: Largest share of a group that is out at a time.
-_MOST_OUT = 0.5
+#: Largest fraction of a group that is ejected at a time.
+_MAX_EJECTED_FRACTION = 0.5
 
 
 def note_outcome(
@@ -31,17 +33,17 @@
     now: float,
     counters: Counters,
 ) -> None:
-    """Enter how an attempt ended; ``None`` means well.
+    """Record how an attempt ended; ``None`` means success.
 
-    A passed deadline does not count: callers choose deadlines, and could take
-    endpoints out with very short ones.
+    A missed deadline does not count as a failure: callers choose deadlines,
+    and could cause ejections with very short ones.
     """
     if refusal is None:
         endpoint.failures.observe(failed=False, now=now)
-        _note_success(endpoint, now)
+        _record_success(endpoint, now)
     elif refusal.code is RefusalCode.ENDPOINT_FAILED:
         endpoint.failures.observe(failed=True, now=now)
-        _note_failure(table, endpoint, now, counters)
+        _record_failure(table, endpoint, now, counters)
 
 
 def note_stall(
@@ -51,22 +53,22 @@
     now: float,
     counters: Counters,
 ) -> None:
-    """Enter that an engine was given up on before its first token.
+    """Record that an attempt was abandoned before its first token.
 
-    Under overload every engine is later than predicted.  Counting that as
-    failing would take engines out and overload the rest; so an engine that
-    still reports is taken to be slow, and the time it took is learned.
+    Under overload every engine is slower than predicted.  Counting that as a
+    failure would eject engines and overload the rest, so an engine that still
+    reports is considered slow, and its learned prefill rate is lowered.
     """
     endpoint = choice.endpoint
     if now - endpoint.reported_at > SILENT_AFTER:
-        _note_failure(table, endpoint, now, counters)
+        _record_failure(table, endpoint, now, counters)
     else:
         learn_rate(choice.best, prompt_tokens, now - choice.chosen_at)
 
 
-def _note_success(endpoint: Endpoint, now: float) -> None:
+def _record_success(endpoint: Endpoint, now: float) -> None:
     endpoint.consecutive_failures = 0
-    # A request from before the ejection that ends well is no probe.
+    # The success of a request sent before the ejection is no probe.
     if endpoint.on_probation and endpoint.ejected_until <= now:
         endpoint.on_probation = False
         endpoint.restored_at = now
@@ -74,14 +76,14 @@
         endpoint.ejections = 0
 
 
-def _note_failure(
+def _record_failure(
     table: EndpointTable,
     endpoint: Endpoint,
     now: float,
     counters: Counters,
 ) -> None:
     endpoint.consecutive_failures += 1
-    failed_often = endpoint.consecutive_failures >= _FAILURES
+    failed_often = endpoint.consecutive_failures >= _MAX_FAILURES
     if endpoint.ejected_until > now:
         return
     if not (failed_often or endpoint.on_probation):
@@ -100,4 +102,4 @@
 def _may_eject(table: EndpointTable, endpoint: Endpoint, now: float) -> bool:
     members = table.in_group(endpoint.group.name)
     out = sum(member.ejected_until > now for member in members)
-    return out + 1 <= len(members) * _MOST_OUT
+    return out + 1 <= len(members) * _MAX_EJECTED_FRACTION
--- a/src/kelproad/coordination/feasibility.py
+++ b/src/kelproad/coordination/feasibility.py
@@ -1,8 +1,9 @@
-"""Whether a request can finish in its time, and when it could.
+"""Check whether a request can meet its deadline, and if not, when it could.
 
-Without this an overloaded fleet computes prompts whose callers have given up:
-the work done is as much as ever, the work done in time falls towards nothing.
-So what cannot finish is refused before anything is dispatched.
+Without this check an overloaded fleet prefills prompts whose callers have given
+up: throughput stays the same, but the goodput (work finished before its
+deadline) falls towards zero.  So requests that can't finish are refused before
+anything is dispatched.
 """
 
 from ..state.endpoints import EndpointTable
@@ -14,18 +15,19 @@
 
 __all__ = ['learn_stretch', 'measure_lateness', 'refuse_hopeless']
 
-#: First tokens that must have been seen before a prediction refuses anything.
-_LEAST_OBSERVED = 10
-#: Part of the remaining time that waiting must take up before it counts as
-#: overload; an error of the prediction must not refuse on an idle fleet.
-_QUEUE_PART = 0.5
-#: Part of the remaining time within which the first token must come.
-_FIRST_TOKEN_PART = 0.9
+#: First tokens to observe before predictions may refuse requests.
+_MIN_OBSERVATIONS = 10
+#: Fraction of the remaining time above which the predicted wait counts as
+#: overload; on an idle fleet a prediction error must not cause refusals.
+_QUEUE_FRACTION = 0.5
+#: Fraction of the remaining time within which the first token must arrive.
+_FIRST_TOKEN_FRACTION = 0.9
+#: Bounds of the Retry-After, in seconds.
 _SHORTEST_RETRY = 0.5
 _LONGEST_RETRY = 60.0
-#: Bounds of one observation, so that none of them refuses what follows.
-_LEAST_STRETCH = 0.5
-_MOST_STRETCH = 4.0
+#: Bounds of one observed ratio, so that a single outlier can't cause refusals.
+_MIN_RATIO = 0.5
+_MAX_RATIO = 4.0
 
 
 def learn_stretch(
@@ -34,11 +36,11 @@
     prompt_tokens: int,
     now: float,
 ) -> None:
-    """Learn by how much predictions for a length class are exceeded."""
+    """Learn a length class's ratio of observed to predicted first token."""
     if not choice.best.predicted:
         return
     observed = (now - choice.chosen_at) / choice.best.predicted
-    bounded = min(max(observed, _LEAST_STRETCH), _MOST_STRETCH)
+    bounded = min(max(observed, _MIN_RATIO), _MAX_RATIO)
     table.stretch[classify_length(prompt_tokens)].observe(bounded)
 
 
@@ -48,19 +50,20 @@
     request: Request,
     now: float,
 ) -> float:
-    """Return by how many seconds a request would be late, 0 if it is not.
+    """Return by how many seconds a request would miss its deadline, or 0.
 
-    Only a queue makes a request hopeless.  One that is alone and too long for
-    its deadline is left to try, as the rate may have been learned under load.
+    A request counts as infeasible only because of a queue.  One that is too
+    long for its deadline without any queue is tried all the same, as the
+    prefill rate may have been learned under load.
     """
     remaining = request.remaining(now)
     stretch = table.stretch[classify_length(request.prompt_tokens)]
-    if stretch.observations < _LEAST_OBSERVED or not best.predicted:
+    if stretch.observations < _MIN_OBSERVATIONS or not best.predicted:
         return 0
-    if best.waiting * stretch.value <= remaining * _QUEUE_PART:
+    if best.waiting * stretch.value <= remaining * _QUEUE_FRACTION:
         return 0
     expected = best.predicted * stretch.value
-    return max(0, expected - remaining * _FIRST_TOKEN_PART)
+    return max(0, expected - remaining * _FIRST_TOKEN_FRACTION)
 
 
 def refuse_hopeless(
@@ -68,14 +71,14 @@
     best: Candidate,
     late: float,
 ) -> Refusal:
-    """Refuse a request that would finish late, and say when to come back.
+    """Refuse a request that would miss its deadline, with a Retry-After.
 
-    Queues drain by a second each second, so after as many seconds as it would
-    be late the same request could finish in time.
+    Queues drain by a second each second, so the lateness is also the time
+    after which the same request could meet its deadline.
     """
     return Refusal(
         RefusalCode.NO_CAPACITY,
-        f'no endpoint of {request.service.name!r} can answer in time: the '
+        f'no endpoint of {request.service.name!r} can meet the deadline: the '
         f'first token is expected {late:.1f} s too late',
         Step.ROUTE,
         peer=best.endpoint.name,
