--- a/src/kelproad/coordination/candidates.py
+++ b/src/kelproad/coordination/candidates.py
@@ -1,7 +1,8 @@
-"""Finding endpoints that could take a request, without looking at all.
+"""Search for endpoints that could accept a request, by sampling.
 
-A decision must not grow with the number of endpoints, so a few are drawn from
-lists kept by group and availability zone, and only those are examined.
+The cost of a decision must not grow with the number of endpoints, so a few are
+sampled from lists kept by group and availability zone, and only those are
+checked.
 """
 
 import itertools
@@ -15,24 +16,24 @@
 
 __all__ = ['Search', 'draw', 'list_usable']
 
-#: Seconds without a report after which an engine is doubted.
+#: Seconds without a report after which an engine is suspect.
 SILENT_AFTER = 3.0
-#: Endpoints looked at for each one wanted before all are looked at.
-_LOOKS_PER_DRAW = 4
+#: Endpoints checked for each one wanted, before all of them are checked.
+_CHECKS_PER_SAMPLE = 4
 
 
 @attrs.frozen
 class Search:
-    """What is looked for.
+    """Criteria of one search.
 
     Attributes
     ----------
     zone
-        The instance's own availability zone.
+        Availability zone of this instance.
     now
         Monotonic time, in seconds.
     tried
-        Endpoints that the request must not be sent to again.
+        Endpoints to exclude, since the request was already sent to them.
     """
 
     request: Request
@@ -43,13 +44,13 @@
     tried: frozenset[str]
 
     def is_usable(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint may be given the request now."""
+        """Return whether the request may be sent to an endpoint now."""
         if endpoint.name in self.tried or endpoint.leaving:
             return False
         if endpoint.ejected_until > self.now:
             return False
         if endpoint.on_probation and endpoint.own_requests:
-            # One request at a time probes an endpoint that was taken out.
+            # On probation, one request at a time probes the endpoint.
             return False
         if endpoint.group.kind is EndpointKind.PLAIN:
             return True
@@ -59,11 +60,12 @@
         return report is None or self.request.service.model in report.models
 
     def is_doubtful(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint is only to be used if there is no other.
+        """Return whether to use an endpoint only if there is no other.
 
-        Silence means that the engine is dead or that its zone is cut off;
-        work sent there would wait until its deadline.  Plain services report
-        nothing.  Work that may not be repeated is no probe.
+        Without recent reports, the engine has failed or its zone is
+        partitioned off; work sent there would wait until its deadline.
+        Endpoints of plain services send no reports.  Work that may not be
+        repeated must not probe an endpoint on probation.
         """
         if endpoint.on_probation and not self.request.repeatable:
             return True
@@ -72,7 +74,7 @@
         return self.now - endpoint.reported_at > SILENT_AFTER
 
     def pools(self, zone: str | None) -> list[list[Endpoint]]:
-        """Return the lists of endpoints to draw from, of one zone or all."""
+        """Return the lists of endpoints to sample, of one zone or all."""
         names = self.request.service.endpoint_groups
         if zone is None:
             return [self.table.in_group(name) for name in names]
@@ -80,44 +82,44 @@
 
 
 def draw(search: Search, zone: str | None, size: int) -> list[Endpoint]:
-    """Draw a few usable endpoints at random, doubtful ones only if need be.
+    """Sample usable endpoints, suspect ones only if there are no others.
 
-    Sampling keeps instances that hold the same stale report from all picking
-    the same engine.
+    Random sampling keeps instances with the same stale report from all
+    choosing the same engine.
     """
     pools = [pool for pool in search.pools(zone) if pool]
     total = sum(map(len, pools))
-    looks = min(total, size * _LOOKS_PER_DRAW)
-    fresh: list[Endpoint] = []
-    doubtful: list[Endpoint] = []
-    for index in search.generator.sample(range(total), looks):
-        endpoint = _pick(pools, index)
+    checks = min(total, size * _CHECKS_PER_SAMPLE)
+    healthy: list[Endpoint] = []
+    suspect: list[Endpoint] = []
+    for index in search.generator.sample(range(total), checks):
+        endpoint = _get_from_pools(pools, index)
         if search.is_usable(endpoint):
-            heard = doubtful if search.is_doubtful(endpoint) else fresh
-            heard.append(endpoint)
-        if len(fresh) == size:
-            return fresh
-    if fresh or looks == total:
-        return fresh or doubtful[:size]
-    # Nearly all are unusable: a few blind looks must not miss the last one.
+            matching = suspect if search.is_doubtful(endpoint) else healthy
+            matching.append(endpoint)
+        if len(healthy) == size:
+            return healthy
+    if healthy or checks == total:
+        return healthy or suspect[:size]
+    # Nearly all are unusable; a sample could miss the last usable one.
     usable = list_usable(search, zone)
     return search.generator.sample(usable, min(size, len(usable)))
 
 
 def list_usable(search: Search, zone: str | None) -> list[Endpoint]:
-    """List all usable endpoints, doubtful ones only if there are no others."""
+    """List all usable endpoints, suspect ones only if there are no others."""
     usable = [
         endpoint
         for endpoint in itertools.chain.from_iterable(search.pools(zone))
         if search.is_usable(endpoint)
     ]
-    fresh = [
+    healthy = [
         endpoint for endpoint in usable if not search.is_doubtful(endpoint)
     ]
-    return fresh or usable
+    return healthy or usable
 
 
-def _pick(pools: list[list[Endpoint]], index: int) -> Endpoint:
+def _get_from_pools(pools: list[list[Endpoint]], index: int) -> Endpoint:
     for pool in pools:
         if index < len(pool):
             return pool[index]
--- a/src/kelproad/coordination/ejection.py
+++ b/src/kelproad/coordination/ejection.py
@@ -18,7 +18,7 @@
 __all__ = ['note_outcome', 'note_stall']
 
 #: Consecutive failures after which an endpoint is ejected.
-_MAX_FAILURES = 3
+_FAILURES_TO_EJECT = 3
 #: Seconds of the first ejection, and of the longest.
 _FIRST_SECONDS = 5.0
 _LONGEST_SECONDS = 60.0
@@ -83,7 +83,7 @@
     counters: Counters,
 ) -> None:
     endpoint.consecutive_failures += 1
-    failed_often = endpoint.consecutive_failures >= _MAX_FAILURES
+    failed_often = endpoint.consecutive_failures >= _FAILURES_TO_EJECT
     if endpoint.ejected_until > now:
         return
     if not (failed_often or endpoint.on_probation):
--- a/src/kelproad/coordination/feasibility.py
+++ b/src/kelproad/coordination/feasibility.py
@@ -57,12 +57,12 @@
     prefill rate may have been learned under load.
     """
     remaining = request.remaining(now)
-    stretch = table.stretch[classify_length(request.prompt_tokens)]
-    if stretch.observations < _MIN_OBSERVATIONS or not best.predicted:
+    ratio = table.stretch[classify_length(request.prompt_tokens)]
+    if ratio.observations < _MIN_OBSERVATIONS or not best.predicted:
         return 0
-    if best.waiting * stretch.value <= remaining * _QUEUE_FRACTION:
+    if best.waiting * ratio.value <= remaining * _QUEUE_FRACTION:
         return 0
-    expected = best.predicted * stretch.value
+    expected = best.predicted * ratio.value
     return max(0, expected - remaining * _FIRST_TOKEN_FRACTION)
 
 
--- a/src/kelproad/coordination/policies.py
+++ b/src/kelproad/coordination/policies.py
@@ -1,8 +1,8 @@
-"""Baselines that routing is measured against, selectable by configuration.
+"""Baseline routing policies, selectable by configuration for comparison.
 
-They do what plain proxies do.  Requests in flight are this instance's own, as
-a proxy counts them; tokens in flight are those of all instances, which is more
-than a proxy knows.
+They correspond to the policies of general-purpose proxies.  Requests in flight
+are those of this instance alone, as a proxy counts them; tokens in flight are
+those of all instances, which a proxy does not know.
 """
 
 import types
@@ -20,14 +20,14 @@
 
 @attrs.frozen
 class Choice:
-    """The chosen endpoint with what was weighed.
+    """The chosen endpoint and the candidates it was compared with.
 
     Attributes
     ----------
     best
-        The chosen one.
+        The chosen candidate.
     considered
-        All candidates that were weighed, the chosen one among them.
+        All candidates that were scored, the chosen one included.
     chosen_at
         Monotonic time of the decision.
     """
@@ -43,11 +43,11 @@
 
     @property
     def predicted(self) -> float:
-        """Predicted seconds to the first token; 0 by a baseline."""
+        """Predicted seconds to the first token; 0 for a baseline policy."""
         return self.best.predicted
 
     def describe(self) -> dict[str, object]:
-        """Describe the choice for people who ask why."""
+        """Return the scores of all candidates, for the decision log."""
         return {
             'endpoint': self.endpoint.name,
             'predicted': self.predicted,
@@ -66,7 +66,7 @@
 Choose = Callable[[Search], Choice | None]
 
 
-def _choose_in_turn(search: Search) -> Choice | None:
+def _choose_round_robin(search: Search) -> Choice | None:
     usable = list_usable(search, None)
     if not usable:
         return None
@@ -82,14 +82,14 @@
         usable = list_usable(search, None)
         if not usable:
             return None
-        # Shuffled, so that equal ones are not always taken in one order.
+        # Shuffle, so that ties are broken at random.
         search.generator.shuffle(usable)
-        weighed = [
+        candidates = [
             Candidate(endpoint, predicted=0, score=measure(endpoint))
             for endpoint in usable
         ]
-        best = min(weighed, key=lambda candidate: candidate.score)
-        return Choice(best, weighed, search.now)
+        best = min(candidates, key=lambda candidate: candidate.score)
+        return Choice(best, candidates, search.now)
 
     return choose
 
@@ -105,8 +105,8 @@
 
 BASELINES: types.MappingProxyType[Policy, Choose] = types.MappingProxyType(
     {
-        Policy.ROUND_ROBIN: _choose_in_turn,
-        Policy.ROUND_ROBIN_PRIORITY: _choose_in_turn,
+        Policy.ROUND_ROBIN: _choose_round_robin,
+        Policy.ROUND_ROBIN_PRIORITY: _choose_round_robin,
         Policy.LEAST_REQUESTS: _choose_least(_count_requests),
         Policy.LEAST_TOKENS: _choose_least(_count_tokens),
     }
--- a/src/kelproad/coordination/prediction.py
+++ b/src/kelproad/coordination/prediction.py
@@ -25,10 +25,10 @@
 _MIN_OBSERVED_TOKENS = 1500
 #: Predicted seconds of one call in progress at a plain endpoint.
 _PLAIN_CALL_SECONDS = 0.01
-#: Lower bound of the first token's weight; it keeps the ratio of weights finite.
+#: Lower bound of the first token's weight; keeps the ratio of weights finite.
 _MIN_WEIGHT = 0.01
-#: Seconds of slow start after an ejection, and the factor, less one, by which
-#: the prediction is raised at its beginning.
+#: Seconds of slow start after an ejection.  The prediction is multiplied by one
+#: plus the penalty at first, and by less and less until the end.
 _SLOW_START_SECONDS = 10.0
 _SLOW_START_PENALTY = 4.0
 _DEFAULT_OBJECTIVE = Objective()
