--- a/src/kelproad/coordination/answers.py
+++ b/src/kelproad/coordination/answers.py
@@ -1,8 +1,8 @@
 """The answer to one request, over all attempts at it.
 
-What has reached the caller decides what may follow a broken attempt: nothing
-yet, then another attempt may answer from the start; some of it, then another
-engine may only go on behind it.
+What has reached the caller determines what may follow a failed attempt.  If
+nothing has, another attempt may answer from the start; otherwise another engine
+may only continue the delivered text.
 """
 
 from typing import Protocol
@@ -25,25 +25,25 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection; nobody waits for the answer."""
+    """The caller closed its connection before the answer was complete."""
 
 
 class DeliveryError(Exception):
-    """The answer cannot be handed over, though its engine gives it."""
+    """The answer cannot be delivered, although the engine produces it."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Keep what the caller is to be told."""
+        """Keep the refusal to send to the caller."""
         super().__init__(refusal.message)
         self.refusal = refusal
 
 
 class Sink(Protocol):
-    """Where the events of an answer go.
+    """Destination of the events of an answer.
 
     Attributes
     ----------
     buffered
-        Whether nothing reaches the caller before the answer is whole.
+        Whether nothing reaches the caller before the answer is complete.
     """
 
     buffered: bool
@@ -53,26 +53,27 @@
         """Whether nothing has reached the caller yet."""
 
     async def deliver(self, events: list[Event]) -> None:
-        """Take checked events, in order, as they arrive."""
+        """Accept checked events, in order, as they arrive."""
 
     def restart(self) -> None:
-        """Forget what was taken; only while ``restartable``."""
+        """Discard the accepted events; only while ``restartable``."""
 
 
 @attrs.define(eq=False)
 class Answer:
-    """An answer in the making.
+    """An answer in progress.
 
     Attributes
     ----------
     continuable
-        Whether another engine could still go on behind what the caller has.
-        False as soon as what it has is no longer kept.
+        Whether another engine could still continue the delivered text.  False
+        once that text is no longer kept.
     has_alternative
         Whether there was another endpoint when the present attempt began.
-        Without one, a silent engine that wakes again is the only hope.
+        Without one, the only option is to wait for a silent engine.
     continuation
-        What the present attempt continues; ``None`` if it starts afresh.
+        The text that the present attempt continues; ``None`` if it starts
+        from the beginning.
     """
 
     request: Request
@@ -87,7 +88,7 @@
     _reservation: Reservation = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Decide whether events are kept for a continuation."""
+        """Decide whether to keep events for a continuation."""
         self._reservation = self.budget.reserve_for(self)
         self.continuable = (
             self.request.repeatable
@@ -109,7 +110,7 @@
         return self.sink.restartable or self.continuable
 
     async def pass_on(self, events: list[Event]) -> None:
-        """Hand events to the caller, and keep them if that may help."""
+        """Forward events to the caller; keep them for a continuation."""
         if self.continuation is not None:
             events = [_adapt(event, self.continuation) for event in events]
         if self.continuable:
@@ -117,10 +118,10 @@
         await self.sink.deliver(events)
 
     def prepare_next(self) -> bool:
-        """Make ready for another attempt; false if none could be whole."""
+        """Prepare for another attempt; return whether it could succeed."""
         if self.sink.restartable:
             self.sink.restart()
-            self._forget()
+            self._drop_kept()
             self.continuation = None
             return True
         text = read_text(self._kept) if self.continuable else None
@@ -140,15 +141,15 @@
         return self.continuation.encode_body(self.body)
 
     def _keep(self, events: list[Event]) -> None:
-        """Keep events, or stop keeping when a bound is reached."""
+        """Keep events, or drop all of them when a bound is reached."""
         for event in events:
             if not self._reservation.take(len(event.payload)):
                 self.continuable = False
-                self._forget()
+                self._drop_kept()
                 return
             self._kept.append(event.payload)
 
-    def _forget(self) -> None:
+    def _drop_kept(self) -> None:
         self._kept = []
         self._reservation.release()
 
--- a/src/kelproad/coordination/outcomes.py
+++ b/src/kelproad/coordination/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ended: the answer to repeat, the refusals of the entry."""
+"""Outcomes of requests: recorded answers, settled claims, refusals."""
 
 from aiohttp import web
 from multidict import CIMultiDict
@@ -18,8 +18,8 @@
 ]
 
 
-def _record_answer(response: web.StreamResponse) -> RecordedAnswer:
-    """Take down an answer as later callers with its key are to get it."""
+def _convert_answer(response: web.StreamResponse) -> RecordedAnswer:
+    """Convert an answer to the form that is replayed to later callers."""
     body = response.body if isinstance(response, web.Response) else b''
     headers = [
         (str(name), text)
@@ -30,7 +30,7 @@
 
 
 def repeat_answer(answer: RecordedAnswer, request_id: str) -> web.Response:
-    """Answer a later caller with what the first one got."""
+    """Build the response that replays a recorded answer."""
     headers = CIMultiDict(answer.headers)
     headers[callers.REQUEST_ID_HEADER] = request_id
     headers[callers.REPLAYED_HEADER] = 'true'
@@ -47,11 +47,11 @@
     request: Request,
     outcome: Result[web.StreamResponse, Refusal],
 ) -> None:
-    """Have an outcome written; a refused caller does not wait for it."""
+    """Settle a claim by an outcome; only an answer waits for the write."""
     if claim is None:
         return
     if isinstance(outcome, Success):
-        answer = _record_answer(outcome.unwrap())
+        answer = _convert_answer(outcome.unwrap())
         await claims.record(claim, answer, request.deadline)
         return
     settle = {
@@ -63,7 +63,7 @@
 
 
 def refuse_late(request: Request) -> Refusal:
-    """Refuse a request whose deadline ended it from outside."""
+    """Refuse a request that was interrupted at its deadline."""
     dispatched = request.phase is not Phase.ADMITTED
     return Refusal(
         RefusalCode.DEADLINE_EXCEEDED,
--- a/src/kelproad/coordination/relays.py
+++ b/src/kelproad/coordination/relays.py
@@ -1,8 +1,8 @@
-"""One attempt's stream, read until the answer is whole or cannot be.
+"""Relay of one attempt's stream, until the answer is complete or can't be.
 
-A broken connection is taken up again on the same engine, which still holds
-the stream; what the sequence of events has let through is never asked for
-twice and never left out.
+After a broken connection the stream is resumed on the same engine, which still
+holds it; events that the sequence has let through are neither requested again
+nor skipped.
 """
 
 import asyncio
@@ -25,32 +25,36 @@
 
 __all__ = ['Patience', 'Relay']
 
-#: Connections in a row that brought nothing before the engine is given up.
-_MAX_FRUITLESS = 2
-#: Seconds for taking up a stream that could be had elsewhere.
+#: Consecutive connections without progress after which the engine is given up.
+_MAX_WITHOUT_PROGRESS = 2
+#: Seconds for resuming a stream that another engine could take over.
 _RESUME_SECONDS = 2.0
-#: Seconds for taking up a stream that cannot: a short cut of the network
-#: heals within them, and the caller of a dead engine still hears soon.
+#: Seconds for resuming a stream that no other engine could take over: a short
+#: network partition heals within them, and the caller of a failed engine still
+#: gets a refusal soon.
 _LAST_RESUME_SECONDS = 5.0
+#: Seconds between two attempts to resume.
 _RESUME_PERIOD = 0.3
-#: Seconds between events after which an engine is doubted.  Tokens are 28 ms
-#: apart, and a step that prefills a chunk of another prompt takes 0.3 s; ten
-#: such steps in a row are no ordinary engine any more.
+#: Seconds between events after which a stream counts as stalled.  Tokens are
+#: 28 ms apart, and a pass (one iteration of the engine's batch) that prefills a
+#: chunk of another prompt takes 0.3 s; ten such passes in a row are abnormal.
 _GAP_SECONDS = 3.0
-#: Seconds for the first event, however early it is predicted.
+#: Timeout for the first event, in seconds, however early it is predicted.
 _FIRST_SECONDS = 3.0
-#: How far a prediction may be wrong: reports are a second old, and prompts
-#: that other instances sent since are not in them.
+#: Factor by which the first event may exceed its prediction: reports are a
+#: second old, and lack the prompts that other instances sent since.
 _PREDICTION_FACTOR = 3.0
-#: A wait that ends later than this leaves another engine no time.
-_LATEST_SHARE = 0.5
-_LEAST_FACTOR = 1.5
-#: How much longer the head is waited for when no other engine is left.
-_LAST_FACTOR = 2.0
+#: Largest fraction of the remaining time to wait for the first event; a longer
+#: wait would leave another engine no time.
+_MAX_WAIT_FRACTION = 0.5
+#: Smallest timeout for the first event, as a multiple of its prediction.
+_MIN_FACTOR = 1.5
+#: Factor of the timeout for the response head when no other engine is left.
+_LAST_ENGINE_FACTOR = 2.0
 
 
 class _Ending(enum.StrEnum):
-    """How the reading of one connection ended."""
+    """Result of reading one connection."""
 
     COMPLETE = 'complete'
     CLOSED = 'closed'
@@ -61,12 +65,12 @@
     FOREIGN = 'foreign'
 
 
-#: Endings after which the same engine cannot make the answer whole.
+#: Endings after which the same engine cannot complete the answer.
 _FINAL = (_Ending.FAILED, _Ending.FOREIGN)
 
 
 class _EngineError(Exception):
-    """The engine told of an error in its stream."""
+    """The engine reported an error in its stream."""
 
 
 _ENDINGS = types.MappingProxyType(
@@ -80,10 +84,10 @@
 
 @attrs.frozen
 class Patience:
-    """Seconds to wait for the first event, and between events.
+    """Timeouts for the first event and between events, in seconds.
 
-    They hold only while the answer could be had elsewhere; otherwise there is
-    nothing better to do than to wait until the deadline.
+    They apply only while another engine could answer; otherwise the relay
+    waits until the deadline.
     """
 
     first: float
@@ -91,14 +95,14 @@
 
     @classmethod
     def from_prediction(cls, predicted: float, remaining: float) -> Self:
-        """Derive it from the predicted first token and the time left."""
+        """Derive them from the predicted first token and the remaining time."""
         generous = max(_FIRST_SECONDS, _PREDICTION_FACTOR * predicted)
-        latest = _LATEST_SHARE * remaining
-        return cls(max(_LEAST_FACTOR * predicted, min(generous, latest)))
+        longest = _MAX_WAIT_FRACTION * remaining
+        return cls(max(_MIN_FACTOR * predicted, min(generous, longest)))
 
 
 class Relay:
-    """The way of one attempt's events from its engine to the answer."""
+    """Relay of one attempt's events from its engine to the answer."""
 
     def __init__(
         self,
@@ -107,8 +111,8 @@
         url: str,
         attempt: Attempt,
         answer: Answer,
-        patience: Patience,
-        note_first_token: Callable[[], None],
+        timeouts: Patience,
+        on_first_token: Callable[[], None],
     ) -> None:
         """Relay an attempt that has not been dispatched yet."""
         self._engines = engines
@@ -116,19 +120,19 @@
         self._url = url
         self._attempt = attempt
         self._answer = answer
-        self._patience = patience
-        self._note_first_token = note_first_token
+        self._timeouts = timeouts
+        self._on_first_token = on_first_token
         self._incarnation = ''
         self._stalls = 0
         self.sequence = EventSequence(attempt.attempt_id)
         self.finished = False
 
     async def run(self) -> Result[None, Refusal]:
-        """Dispatch, and read on where the stream broke until it is whole."""
+        """Dispatch the attempt, and resume its stream until it is complete."""
         opened = await self._open()
         if isinstance(opened, Failure):
             return opened
-        fruitless = 0
+        without_progress = 0
         while isinstance(opened, Success):
             expected = self.sequence.next_number
             ending = await self._read(opened.unwrap())
@@ -136,11 +140,11 @@
                 return Success(None)
             self._counters.streams_broken.inc({'ending': str(ending)})
             progressed = self.sequence.next_number > expected
-            fruitless = 0 if progressed else fruitless + 1
-            if ending in _FINAL or fruitless >= _MAX_FRUITLESS:
+            without_progress = 0 if progressed else without_progress + 1
+            if ending in _FINAL or without_progress >= _MAX_WITHOUT_PROGRESS:
                 break
             opened = await self._resume()
-        return Failure(self._refuse('the engine broke off its answer'))
+        return Failure(self._refuse('the engine did not complete its answer'))
 
     async def _open(self) -> Result[EngineStream, Refusal]:
         opened = await self._engines.open_stream(
@@ -148,7 +152,7 @@
             self._answer.path,
             self._attempt,
             self._answer.encode_body(),
-            self._decide_head_limit(),
+            self._compute_head_deadline(),
         )
         if isinstance(opened, Failure):
             return opened
@@ -156,28 +160,28 @@
         self._incarnation = stream.incarnation
         wanted = self._answer.continuation
         if wanted is not None and stream.continued_bytes != wanted.size:
-            # An engine that overlooks the text would answer from the start,
-            # and the caller would read that again behind what it has.
+            # An engine that ignores the text would answer from the start, and
+            # the caller would get that after the text it already has.
             stream.close()
-            return Failure(self._refuse('the engine does not continue a text'))
+            return Failure(self._refuse('the engine did not continue the text'))
         return opened
 
-    def _decide_head_limit(self) -> float:
-        """Decide until when the head of the answer may be waited for.
+    def _compute_head_deadline(self) -> float:
+        """Return the monotonic time until which to wait for the response head.
 
-        An engine without even a head may be behind a cut.  Without another
-        one here, the caller of work that may be repeated still has other
-        instances, and hears so before its deadline.
+        An engine that does not send a head may be partitioned off.  If no
+        other one is reachable here, the caller of repeatable work can still
+        use another instance, so it is refused before its deadline.
         """
         answer = self._answer
         if not answer.request.repeatable:
             return self._attempt.deadline
-        factor = 1 if answer.has_alternative else _LAST_FACTOR
-        until = monotonic() + factor * self._patience.first
+        factor = 1 if answer.has_alternative else _LAST_ENGINE_FACTOR
+        until = monotonic() + factor * self._timeouts.first
         return min(until, self._attempt.deadline)
 
     async def _resume(self) -> Result[EngineStream, Refusal]:
-        """Take the stream up again; a short outage is waited out."""
+        """Resume the stream, with retries during a short outage."""
         self.sequence.restart()
         movable = self._answer.movable
         seconds = _RESUME_SECONDS if movable else _LAST_RESUME_SECONDS
@@ -197,11 +201,11 @@
             await asyncio.sleep(_RESUME_PERIOD)
 
     def _accept(self, stream: EngineStream) -> Result[EngineStream, Refusal]:
-        """Take a resumed stream, unless the engine has been restarted.
+        """Accept a resumed stream, unless the engine has been restarted.
 
-        A restarted engine holds nothing of ours; what it offers under the
-        attempt's id is another stream, whose events would fit the numbers and
-        mix two answers.
+        A restarted engine no longer holds the attempt's stream; a stream that
+        it offers under the same id is another one, whose event numbers would
+        match and mix two answers.
         """
         if stream.incarnation != self._incarnation:
             stream.close()
@@ -210,9 +214,9 @@
         return Success(stream)
 
     async def _read(self, stream: EngineStream) -> _Ending:
-        """Pass checked events on until the terminal one or a break."""
+        """Forward checked events until the terminal one or an interruption."""
         try:
-            async with asyncio.timeout(self._decide_wait()) as timer:
+            async with asyncio.timeout(self._compute_timeout()) as timer:
                 await self._read_events(stream, timer)
         except TimeoutError:
             self._stalls += 1
@@ -234,35 +238,35 @@
         async for received in stream.read():
             events = self.sequence.feed(received)
             if not events:
-                # Only news counts: an engine that repeats itself for ever has
-                # stalled as well.
+                # Only new events reset the timer: an engine that repeats old
+                # ones for ever has stalled as well.
                 continue
-            # A slow caller must not pass for a stalled engine.
+            # A slow caller must not be mistaken for a stalled engine.
             timer.reschedule(None)
-            await self._pass_on(events)
+            await self._forward(events)
             if self.finished:
                 return
-            wait = self._decide_wait()
+            wait = self._compute_timeout()
             if wait is not None:
                 timer.reschedule(loop.time() + wait)
 
-    async def _pass_on(self, events: list[Event]) -> None:
+    async def _forward(self, events: list[Event]) -> None:
         if any(event.failed for event in events):
             raise _EngineError
-        self._note_first_token()
+        self._on_first_token()
         await self._answer.pass_on(events)
         self.finished = events[-1].terminal
 
-    def _decide_wait(self) -> float | None:
-        """Decide for how long the next event may be waited for.
+    def _compute_timeout(self) -> float | None:
+        """Return the timeout for the next event; ``None`` waits for ever.
 
-        A stall whose stream could be taken up again was a false alarm or a
-        dead connection, so the next wait is twice as long.
+        If a stream could be resumed after a stall, the stall was a false alarm
+        or a dead connection, so the next timeout is twice as long.
         """
         if not self._answer.movable:
             return None
         begun = self.sequence.next_number > 0
-        wait = self._patience.gap if begun else self._patience.first
+        wait = self._timeouts.gap if begun else self._timeouts.first
         return wait * 2**self._stalls
 
     def _refuse(self, message: str) -> Refusal:
--- a/src/kelproad/coordination/segments.py
+++ b/src/kelproad/coordination/segments.py
@@ -3,7 +3,7 @@
 A service may opt in.  The prompt is cut at declared record boundaries into
 parts that fit, each part is answered as an idempotent request of its own, and
 a declared combining prompt turns the parts' answers into one.  All parts share
-the caller's deadline; one part that fails ends the whole request.
+the caller's deadline; if one part fails, the whole request fails.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 class _PartRefusedError(Exception):
-    """A part failed, and with it the request."""
+    """A part failed, so the request fails too."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -44,17 +44,17 @@
     Parameters
     ----------
     prompt
-        The whole prompt.
+        The prompt to cut.
     segmenting
-        Where to cut and how large a part may be, in tokens.
+        Where to cut, and the maximum size of a part, in tokens.
     bytes_per_token
         Divisor of the length estimate, as declared by the service.
 
     Returns
     -------
     Result
-        The parts in their order, or a refusal when a record alone is too
-        large for a part, or when there would be too many parts.
+        The parts in order, or a refusal if a single record exceeds the size
+        of a part, or if there would be too many parts.
     """
     heading, records = _separate_heading(prompt, segmenting)
     size = len(heading.encode())
@@ -71,7 +71,7 @@
         packed[-1].append(record)
         room -= length
     if len(packed) > segmenting.most_parts:
-        return Failure(_refuse_parts(len(packed), segmenting))
+        return Failure(_refuse_part_count(len(packed), segmenting))
     joined = [segmenting.boundary.join(part) for part in packed]
     return Success(Parts(heading, joined))
 
@@ -84,7 +84,7 @@
     try:
         prompt = msgspec.json.decode(body.prompt, type=str)
     except msgspec.DecodeError:
-        return Failure(_refuse_kind())
+        return Failure(_refuse_prompt_type())
     return split_prompt(prompt, service.segments, service.bytes_per_token)
 
 
@@ -113,7 +113,7 @@
     combined = segmenting.boundary.join(
         [parts.heading + segmenting.combine, *answered.unwrap()],
     )
-    request.prompt_tokens = _estimate(combined, request)
+    request.prompt_tokens = _estimate_tokens(combined, request)
     return await attempts.answer(
         request,
         _PATH,
@@ -132,10 +132,10 @@
     body: CompletionBody,
     buffers: BufferBudget,
 ) -> Result[list[str], Refusal]:
-    """Answer all parts; the first that fails cancels the others."""
+    """Answer all parts; the first failure cancels the others."""
     parts, segmenting = request.parts, request.service.segments
-    limited = _limit_answer(body, segmenting)
-    gate = asyncio.Semaphore(segmenting.parallel)
+    limited = _limit_answer_tokens(body, segmenting)
+    semaphore = asyncio.Semaphore(segmenting.parallel)
     try:
         async with asyncio.TaskGroup() as group:
             tasks = [
@@ -146,7 +146,7 @@
                         number,
                         _replace_prompt(limited, parts.heading + records),
                         buffers,
-                        gate,
+                        semaphore,
                     ),
                 )
                 for number, records in enumerate(parts.records, 1)
@@ -165,17 +165,17 @@
     number: int,
     body: CompletionBody,
     buffers: BufferBudget,
-    gate: asyncio.Semaphore,
+    semaphore: asyncio.Semaphore,
 ) -> str:
-    """Answer one part; whatever becomes of it, the whole may have run."""
+    """Answer one part, and record in the request whether it may have run."""
     part = _create_part(request, number)
     sink = WholeDelivery(
         stream=False,
         request_id=part.request_id,
         budget=buffers,
     )
-    async with gate:
-        # Stands when another part's failure cancels this one.
+    async with semaphore:
+        # Applies if another part's failure cancels this one.
         ran = Ran.UNKNOWN
         try:
             outcome = await attempts.answer(
@@ -188,7 +188,7 @@
             if isinstance(outcome, Failure):
                 refusal = part.complete_refusal(outcome.failure())
                 ran = refusal.ran
-                raise _PartRefusedError(_refuse_part(refusal))
+                raise _PartRefusedError(_wrap_refusal(refusal))
         finally:
             request.note_ran(ran)
     response = await sink.finish()
@@ -206,10 +206,10 @@
 
 
 def _create_part(request: Request, number: int) -> Request:
-    """Derive a part's request; it may be repeated, whatever the key says.
+    """Derive the request of a part, which may always be repeated.
 
-    The key's claim covers the request as a whole, and the service declared by
-    opting in that its parts are idempotent.
+    The claim on the key covers the request as a whole, and by opting in the
+    service has declared its parts idempotent.
     """
     return attrs.evolve(
         request,
@@ -222,7 +222,7 @@
     )
 
 
-def _limit_answer(
+def _limit_answer_tokens(
     body: CompletionBody,
     segmenting: Segmenting,
 ) -> CompletionBody:
@@ -243,14 +243,14 @@
     prompt: str,
     segmenting: Segmenting,
 ) -> tuple[str, str]:
-    """Separate what stands before the records from the records."""
+    """Split a prompt into its heading and its records."""
     if not segmenting.heading_end:
         return '', prompt
     heading, end, records = prompt.partition(segmenting.heading_end)
     return (heading + end, records) if end else ('', prompt)
 
 
-def _estimate(prompt: str, request: Request) -> int:
+def _estimate_tokens(prompt: str, request: Request) -> int:
     return int(len(prompt.encode()) / request.service.bytes_per_token) + 1
 
 
@@ -266,22 +266,22 @@
     )
 
 
-def _refuse_parts(count: int, segmenting: Segmenting) -> Refusal:
+def _refuse_part_count(count: int, segmenting: Segmenting) -> Refusal:
     return Refusal(
         RefusalCode.TOO_LARGE,
-        f'the prompt makes {count} parts; at most {segmenting.most_parts} '
-        'are served',
+        f'the prompt needs {count} parts; at most {segmenting.most_parts} '
+        'are allowed',
         Step.ADMIT,
     )
 
 
-def _refuse_kind() -> Refusal:
+def _refuse_prompt_type() -> Refusal:
     return Refusal(
         RefusalCode.TOO_LARGE,
-        'only a prompt that is one text is answered in parts',
+        'only a prompt that is a single string is answered in parts',
         Step.ADMIT,
     )
 
 
-def _refuse_part(refusal: Refusal) -> Refusal:
+def _wrap_refusal(refusal: Refusal) -> Refusal:
     return attrs.evolve(refusal, message=f'a part failed: {refusal.message}')
--- a/src/kelproad/coordination/sending.py
+++ b/src/kelproad/coordination/sending.py
@@ -1,4 +1,4 @@
-"""Sending final answers in bounded time, whoever reads them."""
+"""Sending of final answers in bounded time, even to slow callers."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -11,16 +11,17 @@
 
 __all__ = ['SEND_MARGIN', 'send_bounded', 'send_whole']
 
-#: Seconds by which the sending of a final answer may pass the deadline.
+#: Seconds by which sending a final answer may exceed the deadline.
 SEND_MARGIN = 0.4
-_CALLER_GONE = 499
+#: Status of the response to a caller that was disconnected.
+_CALLER_DISCONNECTED = 499
 
 
 async def send_whole(call: Call, response: web.StreamResponse) -> None:
     """Send an answer of known length.
 
-    aiohttp would send it after the handler, and wait for as long as a caller
-    that does not read keeps its connection open.
+    aiohttp would send it after the handler returns, and wait for as long as a
+    caller that does not read keeps its connection open.
     """
     if not response.prepared:
         await send_bounded(call, _send(call, response))
@@ -30,7 +31,7 @@
     call: Call,
     sending: Awaitable[web.StreamResponse],
 ) -> web.StreamResponse:
-    """Bound the end of an answer; cut the caller off when it is too slow."""
+    """Finish sending an answer, or disconnect a caller that is too slow."""
     wait_for_last_byte(call.http_request)
     try:
         async with within(max(call.deadline, monotonic()) + SEND_MARGIN):
@@ -39,7 +40,7 @@
         transport = call.http_request.transport
         if transport is not None:
             transport.abort()
-        return web.Response(status=_CALLER_GONE)
+        return web.Response(status=_CALLER_DISCONNECTED)
 
 
 async def _send(call: Call, response: web.StreamResponse) -> web.StreamResponse:
