--- a/src/kelproad/coordination/completions.py
+++ b/src/kelproad/coordination/completions.py
@@ -1,7 +1,7 @@
-"""Answering completion calls by the attempts at model engines.
+"""Answering of completion calls by attempts at model engines.
 
-The answer reaches the caller as events or whole, within its deadline, and a
-claim on its key learns what became of it.
+The answer is sent as a stream of events or as one response, within the caller's
+deadline, and a claim on its idempotency key is settled by the outcome.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
 
 __all__ = ['Completions']
 
-#: Seconds past the deadline after which attempts are interrupted.  They end
-#: by themselves at the deadline, and then know whether anything was written.
+#: Seconds past the deadline after which attempts are interrupted.  Normally
+#: they end by themselves at the deadline, and then report whether the work ran.
 _INTERRUPT_MARGIN = 0.05
 
-#: Failures after which the same request may well be answered.
-_PASSING = frozenset(
+#: Failures after which the same request may succeed later.
+_TRANSIENT = frozenset(
     (
         RefusalCode.DEADLINE_EXCEEDED,
         RefusalCode.ENDPOINT_FAILED,
@@ -45,7 +45,7 @@
 
 
 class Completions:
-    """Has completion calls answered, and their claims settled."""
+    """Answers completion calls and settles their claims."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         accounts: Accounts,
         claims: Claims,
     ) -> None:
-        """Answer by attempts, on the books of the instance."""
+        """Answer by attempts, recorded in the accounts of the instance."""
         self._attempts = attempts
         self._accounts = accounts
         self._claims = claims
@@ -66,19 +66,19 @@
         body: CompletionBody,
         claim: Claim | None = None,
     ) -> web.StreamResponse:
-        """Answer a completion call, as events or whole.
+        """Answer a completion call as a stream or as one response.
 
         Parameters
         ----------
         arrival
-            The call as it came.
+            The call as received.
         request
-            The request it became.
+            The request created from it.
         body
             The parsed body.
         claim
-            The claim on its idempotency key, if it has one; its answer is
-            then collected whole, so that it can be recorded.
+            The claim on its idempotency key, if it has one; the complete
+            answer is then collected, so that it can be recorded.
         """
         delivery = self._create_delivery(arrival, request, body, claim)
         outcome = await self._run_attempts(arrival, request, body, delivery)
@@ -128,8 +128,8 @@
         decision = self._accounts.begin(request)
         outcome: Result[None, Refusal] = Failure(refuse_late(request))
         if request.remaining(monotonic()) <= 0:
-            # An owner that was paused after its claim wakes too late.  The
-            # caller has given up, so the work must not be begun any more.
+            # The process was paused after the claim until past the deadline.
+            # The caller has given up, so the work must not begin.
             self._accounts.end(request, decision, outcome)
             return outcome
         try:
@@ -148,12 +148,12 @@
         finally:
             self._accounts.end(request, decision, outcome)
         return outcome.alt(request.complete_refusal).alt(
-            lambda refusal: self._add_pause(request, refusal),
+            lambda refusal: self._add_retry_after(request, refusal),
         )
 
-    def _add_pause(self, request: Request, refusal: Refusal) -> Refusal:
-        """Tell a caller whose request failed when to come back."""
-        if refusal.retry_after is not None or refusal.code not in _PASSING:
+    def _add_retry_after(self, request: Request, refusal: Refusal) -> Refusal:
+        """Add a Retry-After to a refusal after a transient failure."""
+        if refusal.retry_after is not None or refusal.code not in _TRANSIENT:
             return refusal
         pause = self._attempts.suggest_pause(request)
         return attrs.evolve(refusal, retry_after=pause)
@@ -166,7 +166,7 @@
         decision: Decision,
         delivery: StreamDelivery | WholeDelivery,
     ) -> Result[None, Refusal]:
-        """Have the request answered whole, or in parts if it is too large."""
+        """Dispatch a request, in parts if its prompt is too large."""
         if request.parts is None:
             return await self._attempts.answer(
                 request,
--- a/src/kelproad/coordination/delivery.py
+++ b/src/kelproad/coordination/delivery.py
@@ -1,7 +1,8 @@
-"""Handing the events of an answer to the caller.
+"""Delivery of an answer's events to the caller.
 
-Two ways: as they arrive, or whole.  Either ends cleanly only after the
-terminal event; a caller can never mistake a broken answer for a short one.
+Events are forwarded as they arrive, or collected and sent as one response.
+Either way the response ends cleanly only after the terminal event, so a caller
+can never mistake a truncated answer for a short one.
 """
 
 import asyncio
@@ -18,15 +19,15 @@
 
 __all__ = ['StreamDelivery', 'WholeDelivery', 'create_answer_buffers']
 
-#: Bytes of one whole answer, about 30,000 tokens of events.
+#: Maximum bytes of one collected answer, about 30,000 tokens of events.
 _ANSWER_BYTES = 8_388_608
-#: Bytes of all answers that are being collected by this process.
+#: Maximum bytes of all answers that this process is collecting.
 _BUFFER_BYTES = 134_217_728
-#: Seconds after which a buffer that is full now is likely to have room.
-_ROOM_SOON = 2.0
-#: Seconds that a caller has to take the last bytes of a broken answer.
-_FAREWELL_SECONDS = 1.0
-#: Seconds for which a closed connection may still be read.
+#: Retry-After, in seconds, while the buffer is full.
+_FULL_RETRY_AFTER = 2.0
+#: Seconds for writing the error event of a truncated answer.
+_ERROR_EVENT_SECONDS = 1.0
+#: Seconds after which a closing connection is aborted.
 _LINGER_SECONDS = 30.0
 _DELIVERY_KEY = web.ResponseKey('delivery', object)
 _EVENT_STREAM = 'text/event-stream'
@@ -34,12 +35,12 @@
 
 
 def create_answer_buffers() -> BufferBudget:
-    """Create the memory in which whole answers are collected."""
+    """Create the memory budget of collected answers."""
     return BufferBudget(_BUFFER_BYTES, _ANSWER_BYTES)
 
 
 class StreamDelivery:
-    """Passes events on as they arrive."""
+    """Delivery of events as they arrive."""
 
     buffered = False
 
@@ -61,7 +62,7 @@
         return self._response is None
 
     def restart(self) -> None:
-        """Begin again; as nothing was sent, there is nothing to undo."""
+        """Do nothing, since nothing has been sent."""
 
     async def deliver(self, events: list[Event]) -> None:
         """Write events to the caller.
@@ -84,35 +85,35 @@
         try:
             await self._response.write_eof()
         except ConnectionError:
-            # The caller has the terminal event, or has left.
+            # The caller has the terminal event, or has disconnected.
             return self._response
         return self._response
 
     async def refuse(self, refusal: Refusal) -> web.StreamResponse:
-        """Tell the caller that the answer is not, or not wholly, there."""
+        """Send a refusal, or end a partly sent answer with an error event."""
         if self._response is None:
             return callers.answer_refusal(refusal, self._request_id)
         encoded = callers.encode_refusal(refusal, self._request_id)
-        await self._say_farewell(completions.encode_refused_event(encoded))
-        # Closing without the last chunk makes the HTTP body incomplete, so
-        # that a client which overlooks the event sees the cut as well.
+        await self._send_error_event(completions.encode_refused_event(encoded))
+        # Closing without the last chunk leaves the HTTP body incomplete, so
+        # that a client which ignores the event detects the truncation too.
         transport = self._http_request.transport
         if transport is not None:
             transport.close()
-            # A caller that never reads would keep the closing connection and
-            # its buffer for ever.
+            # A caller that never reads would keep the closing connection open
+            # and its buffer in memory for ever.
             loop = asyncio.get_running_loop()
             loop.call_later(_LINGER_SECONDS, transport.abort)
         return self._response
 
-    async def _say_farewell(self, event: bytes) -> None:
-        """Write a last event to a caller that may read no more.
+    async def _send_error_event(self, event: bytes) -> None:
+        """Write the error event, within a time limit.
 
-        A caller that reads slowly has the connection's buffers full, and the
-        write would wait for it beyond the request's deadline.
+        If the caller reads slowly, the connection's buffers are full and the
+        write would block beyond the request's deadline.
         """
         try:
-            async with within(monotonic() + _FAREWELL_SECONDS):
+            async with within(monotonic() + _ERROR_EVENT_SECONDS):
                 await self._response.write(event)
         except (ConnectionError, TimeoutError):
             return
@@ -130,10 +131,10 @@
 
 
 class WholeDelivery:
-    """Collects the answer and sends it with its length.
+    """Delivery of the answer as one response of known length.
 
-    The events take memory from a bounded budget until the answer has been
-    sent or refused.
+    The events count towards a memory budget until the answer has been sent or
+    refused.
     """
 
     buffered = True
@@ -146,7 +147,7 @@
         budget: BufferBudget,
         parts: int = 0,
     ) -> None:
-        """Collect for a caller that wants an event stream, or JSON."""
+        """Collect an answer, to be sent as an event stream or as JSON."""
         self._stream = stream
         self._request_id = request_id
         self._parts = parts
@@ -155,17 +156,18 @@
         self._body = b''
 
     def restart(self) -> None:
-        """Forget what was collected from an attempt that failed."""
+        """Discard the events collected from a failed attempt."""
         self._payloads = []
         self._reservation.release()
 
     async def deliver(self, events: list[Event]) -> None:
-        """Keep events until the answer is whole.
+        """Keep events until the answer is complete.
 
         Raises
         ------
         DeliveryError
-            When there is no memory for more, or the events make no answer.
+            When the memory budget is exhausted, or the events don't form a
+            valid answer.
         """
         for event in events:
             size = len(event.payload)
@@ -177,24 +179,24 @@
             self._body = self._encode()
 
     async def finish(self) -> web.Response:
-        """Build the whole answer."""
+        """Build the response with the complete answer."""
         response = web.Response(
             body=self._body,
             content_type=_EVENT_STREAM if self._stream else _JSON,
             headers=_create_headers(self._request_id, self._parts),
         )
-        # The reservation lasts as long as this object, and this object as
-        # long as the response: a slow caller's answer still counts.
+        # The response keeps this object alive, and this object its
+        # reservation, so that the answer counts until it has been sent.
         response[_DELIVERY_KEY] = self
         return response
 
     async def refuse(self, refusal: Refusal) -> web.Response:
-        """Refuse; nothing of the answer was sent."""
+        """Build a refusal; no part of the answer has been sent."""
         self.restart()
         return callers.answer_refusal(refusal, self._request_id)
 
     def _encode(self) -> bytes:
-        """Encode the whole answer as the caller wants it."""
+        """Encode the complete answer in the requested format."""
         try:
             return (
                 completions.encode_events(self._payloads)
@@ -213,7 +215,7 @@
 
 
 def _refuse_full(fits_answer: bool) -> Refusal:
-    """Refuse an answer beyond its own bound, or beyond that of all."""
+    """Refuse an answer that exceeds its own limit or the shared one."""
     if not fits_answer:
         return Refusal(
             RefusalCode.ANSWER_TOO_LARGE,
@@ -223,17 +225,17 @@
         )
     return Refusal(
         RefusalCode.NO_CAPACITY,
-        'no memory is left here to collect the answer in',
+        'this instance has no memory left to collect the answer',
         Step.RELAY,
         ran=Ran.YES,
-        retry_after=_ROOM_SOON,
+        retry_after=_FULL_RETRY_AFTER,
     )
 
 
 def _refuse_malformed(error: MalformedAnswerError) -> Refusal:
     return Refusal(
         RefusalCode.ENDPOINT_FAILED,
-        f'the engine answered with events that do not join: {error}',
+        f'the events of the engine form no valid answer: {error}',
         Step.RELAY,
         ran=Ran.YES,
     )
--- a/src/kelproad/coordination/plain.py
+++ b/src/kelproad/coordination/plain.py
@@ -1,4 +1,4 @@
-"""Answering calls to plain services by one of their endpoints."""
+"""Forwarding of calls to plain services, with retries."""
 
 import random
 
@@ -20,11 +20,12 @@
 __all__ = ['PlainCalls']
 
 _SAFE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
+#: Endpoints that one call is sent to at the most.
 _MAX_ATTEMPTS = 3
 
 
 class PlainCalls:
-    """Sends calls to plain endpoints and decides on repeating them."""
+    """Dispatch of calls to plain endpoints, with retries at others."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         call: PlainCall,
         decision: Decision,
     ) -> Result[PlainAnswer, Refusal]:
-        """Call one endpoint after another as long as that is allowed."""
+        """Call endpoints in turn, as long as a retry is permitted."""
         self._retries.count_request(request)
         tried: frozenset[str] = frozenset()
         outcome: Result[PlainAnswer, Refusal] | None = None
@@ -111,7 +112,10 @@
 
 
 def _may_repeat(request: Request, call: PlainCall, refusal: Refusal) -> bool:
-    """Tell whether another endpoint may be given the call."""
+    """Return whether the call may be sent to another endpoint.
+
+    Safe methods may always be repeated, others only if the request may be.
+    """
     if refusal.code is RefusalCode.DEADLINE_EXCEEDED:
         return False
     if request.remaining(monotonic()) <= 0:
