--- a/src/kelproad/coordination/accounts.py
+++ b/src/kelproad/coordination/accounts.py
@@ -1,4 +1,4 @@
-"""The accounts of requests: in progress, decided, counted, limited."""
+"""Accounting of requests: in progress, limits, decision log, counters."""
 
 import attrs
 from aiohttp import web
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Accounts:
-    """Every request is entered once and taken out once, on every path."""
+    """Records every request once when it begins and once when it ends."""
 
     _requests: RequestTable
     _decisions: DecisionLog
@@ -23,7 +23,7 @@
     _counters: Counters
 
     def begin(self, request: Request) -> Decision:
-        """Enter a request that is about to be worked on."""
+        """Record a request whose work is about to begin."""
         decision = Decision.from_request(request)
         self._decisions.open(decision)
         self._requests.add(request)
@@ -37,7 +37,7 @@
         decision: Decision,
         outcome: Result[object, Refusal],
     ) -> None:
-        """Take a request out, and note and count how it ended."""
+        """Remove a request, and record its outcome in log and counters."""
         self._requests.remove(request)
         self._limits.end(request)
         self._counters.in_progress.set({}, len(self._requests))
@@ -53,14 +53,14 @@
         request: Request,
         outcome: Result[object, Refusal],
     ) -> None:
-        """Note a request whose claim ended it before any work."""
+        """Record a request that ended at its claim, before any work."""
         self.end(request, self.begin(request), outcome)
 
     def refuse(self, refusal: Refusal, request_id: str) -> web.Response:
-        """Count a refusal and build its answer."""
+        """Count a refusal and build its response."""
         self.count_refusal(refusal)
         if refusal.step is Step.ADMIT:
-            # Refused before there was a request; people ask why all the same.
+            # There is no request yet, but operators query its decision too.
             decision = Decision(request_id, workspace='', service='')
             decision.note('refused', refusal=attrs.asdict(refusal))
             self._decisions.open(decision)
--- a/src/kelproad/coordination/admission.py
+++ b/src/kelproad/coordination/admission.py
@@ -1,4 +1,4 @@
-"""Who may ask for what: authentication and the checks before any work."""
+"""Authentication, authorization and size checks before any work."""
 
 import hmac
 from collections.abc import Mapping
@@ -19,8 +19,8 @@
     'list_models',
 ]
 
-#: Seconds after which a starting instance is usually ready.
-_READY_SOON = 2.0
+#: Retry-After, in seconds; a starting instance is usually ready by then.
+_STARTING_RETRY_AFTER = 2.0
 
 
 def authenticate_workspace(
@@ -34,7 +34,7 @@
                 RefusalCode.NOT_READY,
                 'this instance has no configuration yet',
                 Step.AUTHENTICATE,
-                retry_after=_READY_SOON,
+                retry_after=_STARTING_RETRY_AFTER,
             ),
         )
     workspace = snapshot.workspaces_by_digest.get(digest_key(key))
@@ -95,7 +95,7 @@
     workspace: Workspace,
     name: str,
 ) -> Result[Service, Refusal]:
-    """Find a service by its name."""
+    """Find a service by its name, if the workspace may use it."""
     return _permit(snapshot.services.get(name), workspace, f'service {name!r}')
 
 
@@ -103,7 +103,7 @@
     prompt_tokens: int,
     groups: list[EndpointGroup],
 ) -> Result[None, Refusal]:
-    """Refuse a prompt that no endpoint of the service could ever hold."""
+    """Refuse a prompt that exceeds the memory of every endpoint."""
     largest = max((group.memory_tokens for group in groups), default=0)
     if prompt_tokens < largest:
         return Success(None)
--- a/src/kelproad/coordination/admitting.py
+++ b/src/kelproad/coordination/admitting.py
@@ -1,6 +1,6 @@
-"""Admitting calls by the configuration in force, and before a stop ends.
+"""Admission of calls under the current configuration, until a stop ends.
 
-Whatever is not admitted has not run and never will.
+A call that is not admitted has not run and never will.
 """
 
 from collections.abc import Awaitable, Callable
@@ -27,7 +27,7 @@
 
 
 class Admitter:
-    """Receives calls and makes requests of those that may be made."""
+    """Receives calls and creates the requests of the permitted ones."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         limits: WorkspaceLimits,
         drain: Drain,
     ) -> None:
-        """Admit within limits, until a planned stop is too near its end."""
+        """Admit within limits, and only what ends before a planned stop."""
         self._holder = holder
         self._confirmation = Confirmation(holder, follower)
         self._limits = limits
@@ -46,7 +46,7 @@
         self,
         call: Call,
     ) -> Result[dict[str, Service], Refusal]:
-        """List the models that the sender of a call may use."""
+        """List the models that the caller's workspace may use."""
         key = callers.read_bearer(call.http_request)
         return await self._until_end(
             lambda: self._confirmation.ask(
@@ -58,7 +58,7 @@
         )
 
     async def receive(self, call: Call, text: bool) -> Result[Arrival, Refusal]:
-        """Receive a call, unless a stop ends before its body is there."""
+        """Receive a call, unless a stop ends before its body has arrived."""
         snapshot = self._holder.current
         return await self._until_end(
             lambda: receive(call, snapshot, self._confirmation, text),
@@ -69,7 +69,7 @@
         arrival: Arrival,
         admit: Callable[[Arrival], Result[Request, Refusal]],
     ) -> Result[Request, Refusal]:
-        """Make a request of a call, if it may be made and taken now."""
+        """Create a request, if it is permitted and within the limits."""
         call = arrival.call
         found = await self._until_end(
             lambda: self._confirmation.ask(
@@ -79,24 +79,24 @@
                 call.deadline,
             ),
         )
-        return found.bind(self._weigh_stop).bind(self._limits.admit)
+        return found.bind(self._check_stop).bind(self._limits.admit)
 
     async def _until_end(
         self,
         answer: Callable[[], Awaitable[Result[T, Refusal]]],
     ) -> Result[T, Refusal]:
-        """Wait for an answer, until the stop ends."""
+        """Wait for a result; refuse the call if a stop ends before."""
         try:
             async with self._drain.until_end():
                 return await answer()
         except StopEndedError:
             return Failure(refuse_leaving())
 
-    def _weigh_stop(self, request: Request) -> Result[Request, Refusal]:
-        """Refuse a request that the end of a stop could cut.
+    def _check_stop(self, request: Request) -> Result[Request, Refusal]:
+        """Refuse a request that the end of a stop could interrupt.
 
-        By its deadline it has ended, whatever its endpoint does; a stream that
-        has begun can't be refused any more.
+        Every request ends by its deadline at the latest, but a stream that has
+        begun can't be refused any more.
         """
         if request.remaining(monotonic()) > self._drain.measure_left():
             return Failure(refuse_leaving())
--- a/src/kelproad/coordination/delivery.py
+++ b/src/kelproad/coordination/delivery.py
@@ -23,7 +23,7 @@
 _ANSWER_BYTES = 8_388_608
 #: Maximum bytes of all answers that this process is collecting.
 _BUFFER_BYTES = 134_217_728
-#: Retry-After, in seconds, while the buffer is full.
+#: Retry-After, in seconds; a full buffer usually has room again by then.
 _FULL_RETRY_AFTER = 2.0
 #: Seconds for writing the error event of a truncated answer.
 _ERROR_EVENT_SECONDS = 1.0
--- a/src/kelproad/coordination/endings.py
+++ b/src/kelproad/coordination/endings.py
@@ -1,4 +1,4 @@
-"""How calls end that are in hand when a planned stop ends."""
+"""End of the calls that are in progress when a planned stop ends."""
 
 import logging
 
@@ -11,40 +11,40 @@
 __all__ = ['break_off', 'may_have_run', 'refuse_cut']
 
 _logger = logging.getLogger(__name__)
-#: What a connection that was closed is said to have been answered with.
-_BROKEN_OFF = 499
+#: Status of the response on a connection that was aborted.
+_ABORTED = 499
 
 
 def may_have_run(request: Request) -> bool:
-    """Tell whether a completion that was interrupted may have run.
+    """Return whether a completion that was interrupted may have run.
 
-    Its phase tells no more, as it has ended by now.  Parts are attempted as
-    requests of their own.
+    The phase can't be used, as the request has ended by now.  Parts are
+    attempted as requests of their own.
     """
     if request.parts is not None or request.ran is not Ran.NO:
         return True
     return request.attempts > 0
 
 
-def refuse_cut(was_sent: bool) -> Refusal:
-    """Refuse what was in hand when a stop ended.
+def refuse_cut(was_dispatched: bool) -> Refusal:
+    """Refuse a request that was in progress when a stop ended.
 
-    What was sent to an endpoint may have run there.
+    A request that was sent to an endpoint may have run there.
     """
-    if not was_sent:
+    if not was_dispatched:
         return refuse_leaving()
     return Refusal(
         RefusalCode.ENDPOINT_FAILED,
-        'this instance stopped before the answer was whole',
+        'this instance stopped before the answer was complete',
         Step.RELAY,
         ran=Ran.UNKNOWN,
     )
 
 
 def break_off(arrival: Arrival) -> web.Response:
-    """Close a connection so that the answer on it can't look complete."""
-    _logger.warning('the end of the stop breaks an answer off')
+    """Abort a connection, so that the answer can't appear complete."""
+    _logger.warning('answer aborted by the end of the stop')
     transport = arrival.http_request.transport
     if transport is not None:
         transport.abort()
-    return web.Response(status=_BROKEN_OFF)
+    return web.Response(status=_ABORTED)
--- a/src/kelproad/coordination/entry.py
+++ b/src/kelproad/coordination/entry.py
@@ -1,7 +1,7 @@
-"""The way of a caller's request through this instance, top to bottom.
+"""Handlers of callers' requests: the whole path through this instance.
 
 Receive, authenticate, admit, claim where needed, answer.  Each step either
-gives the next one what it needs or ends the request with a refusal.
+passes its result to the next one or ends the request with a refusal.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 __all__ = ['ANSWER_BEGUN', 'Entry']
 
-#: Set on a call whose answer has begun, so that it can't get another one.
+#: Set on a call whose response has begun, so that no other one is sent.
 ANSWER_BEGUN = web.RequestKey('answer_begun', bool)
 
 _COMPLETION_FIELDS = types.MappingProxyType(
@@ -74,7 +74,7 @@
         limits: WorkspaceLimits,
         drain: Drain,
     ) -> None:
-        """Answer with the parts of this instance."""
+        """Answer with the components of this instance."""
         super().__init__()
         self._identity = identity
         self._admitter = Admitter(holder, follower, limits, drain)
@@ -83,19 +83,19 @@
         self._plain_calls = plain_calls
         self._claims = key_claims
         self._drain = drain
-        self._detached: set[asyncio.Task[web.StreamResponse]] = set()
+        self._detached_tasks: set[asyncio.Task[web.StreamResponse]] = set()
         self._open_calls = 0
 
     @property
     def unfinished(self) -> int:
-        """Number of calls in hand, from their headers to their last byte.
+        """Number of calls in progress, from their headers to the last byte.
 
-        Claimed work goes on without its caller and counts as well.
+        Claimed work continues without its caller and counts as well.
         """
-        return self._open_calls + len(self._detached)
+        return self._open_calls + len(self._detached_tasks)
 
     def routes(self) -> list[web.RouteDef]:
-        """List the paths that callers may call."""
+        """List the routes of the callers' API."""
         return [
             *(
                 web.post(path, self.answer_completion)
@@ -110,7 +110,7 @@
         ]
 
     async def list_models(self, http_request: web.Request) -> web.Response:
-        """Answer which models the caller's workspace may use."""
+        """Answer with the models that the caller's workspace may use."""
         return await self._handle(http_request, self._list_models)
 
     async def answer_completion(
@@ -134,7 +134,7 @@
         http_request: web.Request,
         answer: Handler,
     ) -> web.StreamResponse:
-        """Answer a call, counted from its arrival until it is sent."""
+        """Answer a call, which counts as open until its answer is sent."""
         arrived = monotonic()
         call = Call(
             http_request,
@@ -172,8 +172,8 @@
         )
         admitted = await self._admitter.admit(
             arrival,
-            lambda moved: parsed.bind(
-                lambda body: admit_completion(moved, body)
+            lambda current: parsed.bind(
+                lambda body: admit_completion(current, body)
             ),
         )
         if isinstance(admitted, Failure):
@@ -207,7 +207,7 @@
         body: CompletionBody,
         claim: Claim | None = None,
     ) -> web.StreamResponse:
-        """Answer a completion call before a stop ends."""
+        """Answer a completion call, unless the end of a stop interrupts it."""
         try:
             async with self._drain.until_end():
                 return await self._completions.answer(
@@ -230,14 +230,14 @@
         self,
         answering: Coroutine[None, None, web.StreamResponse],
     ) -> web.StreamResponse:
-        """Run claimed work to its end even when the caller goes away.
+        """Run claimed work to its end, even if the caller disconnects.
 
-        Its outcome must be recorded, or every later caller with the key would
-        hear that it is unknown.
+        Its outcome must be recorded; otherwise every later caller with the key
+        would be told that it is unknown.
         """
         task = asyncio.create_task(answering)
-        self._detached.add(task)
-        task.add_done_callback(self._detached.discard)
+        self._detached_tasks.add(task)
+        task.add_done_callback(self._detached_tasks.discard)
         return await asyncio.shield(task)
 
     async def _claim(
@@ -246,7 +246,7 @@
         request: Request,
         body: CompletionBody | None,
     ) -> web.StreamResponse:
-        """Claim the key, then answer once or repeat the recorded answer."""
+        """Claim the key, then answer once or replay the recorded answer."""
         http_request = arrival.http_request
         acquired = await self._claims.acquire(
             request.workspace.name,
@@ -270,7 +270,7 @@
                 return await self._call_plain(arrival, request, claim)
             return await self._complete(arrival, request, body, claim)
         finally:
-            # An unexpected error may have come after the dispatch.
+            # An unexpected error may have occurred after the dispatch.
             if not claim.settled:
                 self._claims.leave_unknown(claim)
 
@@ -323,6 +323,6 @@
 
 
 def _plain_path(http_request: web.Request) -> str:
-    """Return the part of the raw path that the service itself sees."""
+    """Return the raw path without the prefix that names the service."""
     _, _, rest = http_request.raw_path.removeprefix('/services/').partition('/')
     return f'/{rest}'
--- a/src/kelproad/coordination/reception.py
+++ b/src/kelproad/coordination/reception.py
@@ -1,7 +1,7 @@
-"""Receiving a call: who sends it, its body, the request it becomes.
+"""Reception of a call: authentication, reading its body, creating the request.
 
-Nothing here waits longer than the caller's own deadline, and nothing of a
-call that is refused here has reached an endpoint.
+Nothing here waits longer than the caller's own deadline, and no part of a call
+that is refused here has reached an endpoint.
 """
 
 import asyncio
@@ -32,16 +32,16 @@
     'refuse_leaving',
 ]
 
-#: Seconds that a caller has to send its whole body, if its own deadline
-#: leaves it as many.
+#: Seconds that a caller has to send its body, unless its own deadline is
+#: shorter.
 RECEIVE_TIMEOUT = 30.0
-#: Bound on a body before the service, and so its own bound, is known.
+#: Maximum bytes of a body if the configuration declares no service.
 _DEFAULT_BODY_LIMIT = 16_777_216
 
 
 @attrs.define
 class Call:
-    """A caller's HTTP request from the moment its headers are there.
+    """A caller's HTTP request whose headers have been received.
 
     Attributes
     ----------
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Arrival:
-    """A call with its body, from a known workspace."""
+    """A call with its body, authenticated under a snapshot."""
 
     call: Call
     snapshot: Snapshot
@@ -67,13 +67,13 @@
 
     @property
     def http_request(self) -> web.Request:
-        """The call as it came."""
+        """The HTTP request of the call."""
         return self.call.http_request
 
 
 @attrs.frozen
-class _Known:
-    """A workspace, and the snapshot that declares it."""
+class _Authenticated:
+    """An authenticated workspace, and the snapshot that declares it."""
 
     snapshot: Snapshot
     workspace: Workspace
@@ -90,11 +90,11 @@
     Parameters
     ----------
     call
-        The call; its deadline is set by what the headers say.
+        The call; its deadline is set from the headers.
     snapshot
         The configuration in force.
     confirmation
-        Asked before a key is refused that is not known.
+        Queried before an unknown key is refused.
     text
         Whether the body must be UTF-8.
     """
@@ -107,7 +107,7 @@
     )
     call.deadline = call.arrived + seconds.value_or(RECEIVE_TIMEOUT)
     found = await confirmation.ask(
-        lambda asked: _authenticate(asked, call),
+        lambda confirmed: _authenticate(confirmed, call),
         snapshot,
         call.arrived,
         call.deadline,
@@ -115,8 +115,8 @@
     for checked in (found, key, seconds):
         if isinstance(checked, Failure):
             return checked
-    known = found.unwrap()
-    limit = _largest_body(known.snapshot)
+    sender = found.unwrap()
+    limit = _find_body_limit(sender.snapshot)
     try:
         async with within(call.deadline):
             body = await callers.read_body(call.http_request, limit, text)
@@ -125,8 +125,8 @@
     return body.map(
         lambda content: Arrival(
             call,
-            known.snapshot,
-            known.workspace,
+            sender.snapshot,
+            sender.workspace,
             key.unwrap(),
             content,
         ),
@@ -134,7 +134,7 @@
 
 
 def move_to(snapshot: Snapshot, arrival: Arrival) -> Result[Arrival, Refusal]:
-    """Take an arrival to a newer snapshot, if that still has its key."""
+    """Authenticate an arrival again, under a newer snapshot."""
     if snapshot is arrival.snapshot:
         return Success(arrival)
     return _authenticate(snapshot, arrival.call).map(
@@ -150,7 +150,7 @@
     arrival: Arrival,
     body: CompletionBody,
 ) -> Result[Request, Refusal]:
-    """Make a request of a completion call that its workspace may make."""
+    """Create the request of a permitted completion call."""
     found = admission.find_model(
         arrival.snapshot,
         arrival.workspace,
@@ -172,7 +172,7 @@
 
 
 def admit_plain(arrival: Arrival) -> Result[Request, Refusal]:
-    """Make a request of a call to a plain service."""
+    """Create the request of a permitted call to a plain service."""
     found = admission.find_service(
         arrival.snapshot,
         arrival.workspace,
@@ -182,20 +182,22 @@
 
 
 def refuse_leaving() -> Refusal:
-    """Refuse a call that the end of a planned stop would cut."""
+    """Refuse a call that the end of a planned stop would interrupt."""
     return Refusal(
         RefusalCode.NOT_READY,
-        'this instance is leaving; another one takes the request',
+        'this instance is stopping; send the request to another one',
         Step.ADMIT,
         retry_after=0,
     )
 
 
-def _authenticate(snapshot: Snapshot, call: Call) -> Result[_Known, Refusal]:
+def _authenticate(
+    snapshot: Snapshot, call: Call
+) -> Result[_Authenticated, Refusal]:
     return admission.authenticate_workspace(
         snapshot,
         callers.read_bearer(call.http_request),
-    ).map(lambda workspace: _Known(snapshot, workspace))
+    ).map(lambda workspace: _Authenticated(snapshot, workspace))
 
 
 def _create_request(
@@ -247,7 +249,7 @@
     )
 
 
-def _largest_body(snapshot: Snapshot) -> int:
+def _find_body_limit(snapshot: Snapshot) -> int:
     return max(
         (service.max_body_bytes for service in snapshot.services.values()),
         default=_DEFAULT_BODY_LIMIT,
