--- a/src/kelproad/coordination/attempts.py
+++ b/src/kelproad/coordination/attempts.py
@@ -31,6 +31,7 @@
 
 __all__ = ['Attempts', 'CallerGoneError']
 
+#: Maximum number of endpoints that one request is sent to.
 _MAX_ATTEMPTS = 3
 #: Seconds after which an attempt that ends without a token counts as stalled
 #: instead of failed.
--- a/src/kelproad/coordination/ejection.py
+++ b/src/kelproad/coordination/ejection.py
@@ -57,7 +57,7 @@
 
     Under overload every engine is slower than predicted.  Counting that as a
     failure would eject engines and overload the rest, so an engine that still
-    reports is considered slow, and its learned prefill rate is lowered.
+    reports is considered slow, and the elapsed time updates its learned rate.
     """
     endpoint = choice.endpoint
     if now - endpoint.reported_at > SILENT_AFTER:
--- a/src/kelproad/coordination/plain.py
+++ b/src/kelproad/coordination/plain.py
@@ -20,7 +20,7 @@
 __all__ = ['PlainCalls']
 
 _SAFE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
-#: Endpoints that one call is sent to at the most.
+#: Maximum number of endpoints that one call is sent to.
 _MAX_ATTEMPTS = 3
 
 
--- a/src/kelproad/coordination/routing.py
+++ b/src/kelproad/coordination/routing.py
@@ -39,6 +39,7 @@
 MINIMUM_RETRY_AFTER = 0.5
 
 _NONE: frozenset[str] = frozenset()
+#: Endpoints sampled for a prompt, by its length class.
 _SAMPLE_SIZES = types.MappingProxyType(
     {
         LengthClass.SHORT: 2,
@@ -46,6 +47,7 @@
         LengthClass.LONG: 8,
     }
 )
+#: Policies under which all requests have the same priority at the engine.
 _WITHOUT_PRIORITY = frozenset(
     (Policy.ROUND_ROBIN, Policy.LEAST_REQUESTS, Policy.LEAST_TOKENS),
 )
@@ -206,7 +208,7 @@
 def _refuse_no_endpoint(request: Request) -> Refusal:
     return Refusal(
         RefusalCode.NO_CAPACITY,
-        f'no endpoint of {request.service.name!r} can take the request now',
+        f'no endpoint of {request.service.name!r} can accept the request now',
         Step.ROUTE,
         retry_after=MINIMUM_RETRY_AFTER,
     )
