--- a/src/kelproad/coordination/plain.py
+++ b/src/kelproad/coordination/plain.py
@@ -114,7 +114,7 @@
 def _may_repeat(request: Request, call: PlainCall, refusal: Refusal) -> bool:
     """Return whether the call may be sent to another endpoint.
 
-    Safe methods may always be repeated, others only if the request may be.
+    Work that may have run is repeated only if it is safe or idempotent.
     """
     if refusal.code is RefusalCode.DEADLINE_EXCEEDED:
         return False
