--- a/src/kelproad/coordination/gossip.py
+++ b/src/kelproad/coordination/gossip.py
@@ -1,12 +1,11 @@
-"""Which records go to which peer: bounded fan-out and bounded bytes.
-
-Inside a zone the instances stand on a ring in the order of their names' hashes
-and send over strides of 1, 2, 4 and so on.  Over a stride go the records of
-the stride's length of predecessors, so that after all strides have had their
-turn every record has reached everybody, and reached them once.  What goes
-beyond that is sent seldom, and makes up for messages and instances lost.
-Between zones and regions only a few pairs exchange records, chosen by
-rendezvous hash.
+"""Selection of gossip peers and records, with bounded fan-out and bytes.
+
+The instances of a zone form a ring, ordered by the hashes of their names, and
+send over strides of 1, 2, 4 and so on.  A message over a stride of N carries
+the records of the N nearest predecessors, so that after one turn of all
+strides every record has reached every instance exactly once.  Other records
+are sent at a lower rate, to make up for lost messages and instances.  Between
+zones and regions only a few pairs exchange records, chosen by rendezvous hash.
 """
 
 import functools
@@ -25,35 +24,38 @@
 PERIOD = 0.5
 #: Strides used in one round.
 _FANOUT = 2
-#: Instances of a zone that send to another zone, and of a region to another.
+#: Instances of a zone that send to each other zone, and of a region to each
+#: other region.
 _BRIDGES = 2
-#: Bytes a second that an instance sends to peers; as much arrives.
+#: Bytes per second that an instance sends to peers; it receives as many.
 BYTES_PER_SECOND = 5_500.0
+#: Seconds of unused allowance that may be sent at once.
 _BURST_SECONDS = 1.0
-#: Bytes that parts of a record take in a compressed message, about.
+#: Approximate bytes of the parts of a record in a compressed message.
 _HEARTBEAT_BYTES = 48
 _REPORT_BYTES = 24
 _DISPATCHED_BYTES = 14
 _DEMAND_BYTES = 32
-#: Choices and hashes remembered, which change only as members come and go.
-_CHOICES_KEPT = 1024
-
-#: Versions of which one is sent beyond a stride's own records.
-_SPARE_INTERVAL = 3
-#: Rounds of which one goes to other zones.
-_BRIDGE_TURN = 2
-#: Rounds of which one carries loads of other zones first.
-_FAR_TURN = 4
-#: Share of a message that heartbeats may take; loads take the rest.
+#: Cached choices and hashes; they change only as members come and go.
+_CACHED_CHOICES = 1024
+
+#: Of records that a stride doesn't carry, one version in this many is sent.
+_REDUNDANT_INTERVAL = 3
+#: One round in this many sends to other zones.
+_BRIDGE_INTERVAL = 2
+#: One round in this many packs the loads of other zones first.
+_REMOTE_FIRST_INTERVAL = 4
+#: Share of a message that heartbeats may take; loads get the rest.
 _HEARTBEAT_SHARE = 0.5
 
 _Order = tuple[int, int, int]
+#: Sorts before the position of any record.
 _NEVER: _Order = (-1, -1, -1)
 
 
 @attrs.frozen
 class Place:
-    """Where an instance stands."""
+    """Where an instance runs and receives messages."""
 
     name: str
     zone: str
@@ -62,15 +64,15 @@
 
 
 @attrs.define
-class _Seen:
-    """What a peer is known to hold of one member."""
+class _HeldVersions:
+    """The newest versions of one member's record that a peer holds."""
 
     order: _Order = _NEVER
     load_order: _Order = _NEVER
 
 
 class Gossiper:
-    """Chooses the peers of a round, and the records for each."""
+    """Chooses the peers of each round and the records to send to them."""
 
     def __init__(
         self,
@@ -78,21 +80,21 @@
         members: MemberTable,
         generator: random.Random,
     ) -> None:
-        """Spread the records of a table from a place."""
+        """Send the records of a table; ``generator`` makes the random choices."""
         self._place = place
         self._members = members
         self._generator = generator
         self._round = 0
-        self._behind: dict[str, int] = {}
+        self._ring_distances: dict[str, int] = {}
         self._strides: dict[str, int] = {}
-        self._seen: dict[str, dict[str, _Seen]] = {}
+        self._held_by_peer: dict[str, dict[str, _HeldVersions]] = {}
         self._allowance = BYTES_PER_SECOND * _BURST_SECONDS
         self._refilled_at: float | None = None
 
     def needs_version(self, now: float) -> bool:
-        """Tell whether this round brings a new version of the own record.
+        """Return whether this round needs a new version of the local record.
 
-        One version for each turn of all strides: a newer one would displace
+        There is one version per turn of all strides: a newer one would replace
         it on the way and cost bytes without arriving sooner.
         """
         strides = len(_list_strides(len(self._ring(now))))
@@ -100,7 +102,7 @@
         return self._round % rounds == 0
 
     def choose_targets(self, now: float, listed: dict[str, str]) -> list[str]:
-        """Choose the peer addresses of this round.
+        """Advance to the next round and choose its peer addresses.
 
         Parameters
         ----------
@@ -120,41 +122,41 @@
     def pack(
         self,
         address: str,
-        own: Member,
+        local_record: Member,
         now: float,
-        room: float,
+        budget: float,
     ) -> list[Member]:
-        """Pack what a peer has not seen, the own record first.
+        """Pack the records that a peer lacks, the local one first.
 
-        Heartbeats go before loads and the own zone before others, so that a
-        message without room for all delays loads and never liveness.
+        Heartbeats come before loads and the local zone before others, so that
+        a small ``budget`` of bytes delays loads but never liveness.
         """
-        seen = self._seen.setdefault(address, {})
-        # The own record always goes whole: it is this instance's heartbeat.
-        packed = {own.name: own}
-        room -= _weigh_load(own) + _HEARTBEAT_BYTES
-        most = int(room * _HEARTBEAT_SHARE / _HEARTBEAT_BYTES)
-        for member in self._list_news(address, seen, now)[: max(0, most)]:
+        held = self._held_by_peer.setdefault(address, {})
+        # The local record is always complete: it is this instance's heartbeat.
+        packed = {local_record.name: local_record}
+        budget -= _estimate_load_bytes(local_record) + _HEARTBEAT_BYTES
+        most = int(budget * _HEARTBEAT_SHARE / _HEARTBEAT_BYTES)
+        for member in self._list_heartbeats(address, held, now)[: max(0, most)]:
             heartbeat = self._members.age_record(member, now)
             packed[member.name] = heartbeat.without_load()
-            room -= _HEARTBEAT_BYTES
-        for member in self._list_loads(address, seen, now):
-            cost = _weigh_load(member)
+            budget -= _HEARTBEAT_BYTES
+        for member in self._list_loads(address, held, now):
+            cost = _estimate_load_bytes(member)
             if member.name not in packed:
                 cost += _HEARTBEAT_BYTES
-            if cost <= room:
+            if cost <= budget:
                 packed[member.name] = self._age_load(member, now)
-                room -= cost
-        self._note(address, packed.values())
-        return self._accuse(address, list(packed.values()), now)
+                budget -= cost
+        self._record_held(address, packed.values())
+        return self._add_suspicion(address, list(packed.values()), now)
 
     def note_received(self, members: list[Member]) -> None:
-        """Remember that a sender holds the records that it sent."""
+        """Record that a sender holds the records that it sent."""
         if members:
-            self._note(members[0].peer_address, members)
+            self._record_held(members[0].peer_address, members)
 
     def refill(self, now: float) -> float:
-        """Return the bytes that may be sent now."""
+        """Refill the allowance and return the bytes that may be sent now."""
         if self._refilled_at is not None:
             gained = (now - self._refilled_at) * BYTES_PER_SECOND
             most = BYTES_PER_SECOND * _BURST_SECONDS
@@ -163,22 +165,22 @@
         return self._allowance
 
     def spend(self, sent_bytes: int) -> None:
-        """Take sent bytes from the allowance, below zero if need be."""
+        """Deduct sent bytes from the allowance, which may become negative."""
         self._allowance -= sent_bytes
 
     def keep_peers(self, addresses: Iterable[str]) -> None:
-        """Forget what peers held whose addresses are gone."""
+        """Forget which records the peers at all other addresses hold."""
         kept = set(addresses)
-        self._seen = {
-            address: seen
-            for address, seen in self._seen.items()
+        self._held_by_peer = {
+            address: held
+            for address, held in self._held_by_peer.items()
             if address in kept
         }
 
     # Peers
 
     def _ring(self, now: float) -> list[tuple[str, str]]:
-        """List name and address of the own zone's live instances in order."""
+        """List the zone's live instances, as (name, address) in ring order."""
         place = self._place
         names = {
             member.name: member.peer_address
@@ -194,7 +196,7 @@
         if not strides:
             return []
         at = [name for name, _ in ring].index(self._place.name)
-        self._behind = {
+        self._ring_distances = {
             name: (at - position) % len(ring)
             for position, (name, _) in enumerate(ring)
         }
@@ -202,57 +204,57 @@
             ring[(at + stride) % len(ring)][1]: stride for stride in strides
         }
         first = self._round * _FANOUT
-        turn = {
+        due = {
             strides[(first + step) % len(strides)] for step in range(_FANOUT)
         }
-        return [ring[(at + stride) % len(ring)][1] for stride in turn]
+        return [ring[(at + stride) % len(ring)][1] for stride in due]
 
     def _choose_bridges(self, now: float) -> list[str]:
-        """Choose a peer in each zone and region this instance bridges to."""
-        if self._round % _BRIDGE_TURN:
+        """Choose a peer in each zone and region that this instance bridges to."""
+        if self._round % _BRIDGE_INTERVAL:
             return []
         place = self._place
         live = self._members.live(now)
-        by_zone: dict[str, list[Member]] = {}
+        by_side: dict[str, list[Member]] = {}
         for member in live:
             far_region = member.region != place.region
             side = f'region {member.region}' if far_region else member.zone
             if side != place.zone:
-                by_zone.setdefault(side, []).append(member)
-        own_zone = frozenset((place.name,)) | {
+                by_side.setdefault(side, []).append(member)
+        local_zone = frozenset((place.name,)) | {
             member.name for member in live if member.zone == place.zone
         }
-        own_region = frozenset((place.name,)) | {
+        local_region = frozenset((place.name,)) | {
             member.name for member in live if member.region == place.region
         }
         chosen = []
-        for side, there in by_zone.items():
-            here = own_region if side.startswith('region ') else own_zone
-            if place.name in _choose_bridges(side, here):
-                chosen.append(self._choose_across(place.name, there))
+        for side, remote in by_side.items():
+            local = local_region if side.startswith('region ') else local_zone
+            if place.name in _rank_bridges(side, local):
+                chosen.append(self._choose_remote_peer(place.name, remote))
         return chosen
 
-    def _choose_across(self, name: str, there: list[Member]) -> str:
-        addresses = {member.name: member.peer_address for member in there}
-        owners = _choose_bridges(name, frozenset(addresses))
+    def _choose_remote_peer(self, name: str, remote: list[Member]) -> str:
+        addresses = {member.name: member.peer_address for member in remote}
+        owners = _rank_bridges(name, frozenset(addresses))
         return addresses[self._generator.choice(owners)]
 
     def _choose_probes(self, now: float, listed: dict[str, str]) -> list[str]:
-        """Choose one address from which nothing is heard.
+        """Choose at random a silent address and a suspected member.
 
-        It is how a new instance finds the others, a suspected one hears of
-        its suspicion, and zones meet again after a cut.
+        This is how a new instance finds the others, how a suspected one
+        learns that it is suspected, and how zones reconnect after a partition.
         """
         suspected = [
             member.peer_address for member in self._members.suspected(now)
         ]
-        heard = {member.peer_address for member in self._members.live(now)}
+        live = {member.peer_address for member in self._members.live(now)}
         lost = {
             member.peer_address
             for member in self._members.known()
             if not member.left
         }
-        silent = sorted((set(listed) | lost) - heard - {self._place.address})
+        silent = sorted((set(listed) | lost) - live - {self._place.address})
         probes = [self._generator.choice(silent)] if silent else []
         if suspected:
             probes.append(self._generator.choice(suspected))
@@ -260,42 +262,45 @@
 
     # Records
 
-    def _list_news(
+    def _list_heartbeats(
         self,
         address: str,
-        seen: dict[str, _Seen],
+        held: dict[str, _HeldVersions],
         now: float,
     ) -> list[Member]:
-        """List the members whose heartbeat is news, the own zone first."""
-        near: list[Member] = []
-        far: list[Member] = []
+        """List members whose heartbeat the peer lacks.
+
+        Departed members and those of the local zone come first.
+        """
+        preferred: list[Member] = []
+        others: list[Member] = []
         present = self._members.departed(now) + self._members.live(now)
         for member in present:
-            known = seen.get(member.name, _Seen()).order
+            known = held.get(member.name, _HeldVersions()).order
             if not self._is_due(address, member, member.order, known):
                 continue
-            is_near = member.zone == self._place.zone
-            group = near if is_near or member.left else far
+            is_local = member.zone == self._place.zone
+            group = preferred if is_local or member.left else others
             group.append(member)
-        self._generator.shuffle(near)
-        self._generator.shuffle(far)
-        return near + far
+        self._generator.shuffle(preferred)
+        self._generator.shuffle(others)
+        return preferred + others
 
     def _list_loads(
         self,
         address: str,
-        seen: dict[str, _Seen],
+        held: dict[str, _HeldVersions],
         now: float,
     ) -> list[Member]:
-        """List the members whose load is news, most overdue first.
+        """List members whose load the peer lacks, most overdue first.
 
-        In most rounds the own zone comes first, in some the others, so that
-        neither is left without when not all have room.
+        Most rounds put the local zone first and some put the others first, so
+        that neither starves when there is no room for both.
         """
-        is_far_turn = self._round % _FAR_TURN == 0
+        is_remote_first = self._round % _REMOTE_FIRST_INTERVAL == 0
         overdue: list[tuple[bool, int, Member]] = []
         for member in self._members.live(now):
-            known = seen.get(member.name, _Seen()).load_order
+            known = held.get(member.name, _HeldVersions()).load_order
             order = member.load_order
             if member.has_load and self._is_due(
                 address,
@@ -303,11 +308,11 @@
                 order,
                 known,
             ):
-                is_far = member.zone != self._place.zone
-                # Of a life that the peer knows nothing of, it lacks most.
+                is_remote = member.zone != self._place.zone
+                # A peer lacks every version of an incarnation new to it.
                 since = known[-1] if order[:2] == known[:2] else 0
                 lag = order[-1] - since
-                overdue.append((is_far != is_far_turn, -lag, member))
+                overdue.append((is_remote != is_remote_first, -lag, member))
         self._generator.shuffle(overdue)
         overdue.sort(key=lambda entry: entry[:2])
         return [member for _, _, member in overdue]
@@ -319,7 +324,7 @@
         order: _Order,
         known: _Order,
     ) -> bool:
-        """Tell whether enough is new of a member to be sent to an address."""
+        """Return whether the peer's version is outdated enough to send."""
         if order <= known or member.peer_address == address:
             return False
         if order[:2] != known[:2] or member.left:
@@ -327,46 +332,46 @@
         return order[-1] - known[-1] >= self._choose_interval(address, member)
 
     def _choose_interval(self, address: str, member: Member) -> int:
-        """Choose of how many versions one is sent to an address."""
+        """Return how many versions a peer may lag before it gets one."""
         if member.zone != self._place.zone:
             return self._members.far_interval
         stride = self._strides.get(address, 0)
-        behind = self._behind.get(member.name, stride)
-        return 1 if behind < stride else _SPARE_INTERVAL
+        behind = self._ring_distances.get(member.name, stride)
+        return 1 if behind < stride else _REDUNDANT_INTERVAL
 
     def _age_load(self, member: Member, now: float) -> Member:
         waited = now - self._members.load_heard_at(member.name)
         aged = self._members.age_record(member, now)
         return attrs.evolve(aged, held=round(member.held + waited, 2))
 
-    def _accuse(
+    def _add_suspicion(
         self,
         address: str,
         packed: list[Member],
         now: float,
     ) -> list[Member]:
-        """Add a suspected receiver's own record, so that it can refute it."""
+        """Append a suspected receiver's record, so that it can refute it."""
         return packed + [
             member.without_load()
             for member in self._members.suspected(now)
             if member.peer_address == address
         ]
 
-    def _note(self, address: str, members: Iterable[Member]) -> None:
-        seen = self._seen.setdefault(address, {})
+    def _record_held(self, address: str, members: Iterable[Member]) -> None:
+        held = self._held_by_peer.setdefault(address, {})
         for member in members:
-            known = seen.setdefault(member.name, _Seen())
+            known = held.setdefault(member.name, _HeldVersions())
             known.order = max(known.order, member.order)
             if member.has_load:
                 known.load_order = max(known.load_order, member.load_order)
 
 
-@functools.lru_cache(maxsize=_CHOICES_KEPT)
-def _choose_bridges(side: str, names: frozenset[str]) -> list[str]:
+@functools.lru_cache(maxsize=_CACHED_CHOICES)
+def _rank_bridges(side: str, names: frozenset[str]) -> list[str]:
     return choose_owners(side, names, _BRIDGES)
 
 
-@functools.lru_cache(maxsize=_CHOICES_KEPT)
+@functools.lru_cache(maxsize=_CACHED_CHOICES)
 def _hash_name(item: tuple[str, str]) -> bytes:
     return hashlib.blake2b(item[0].encode(), digest_size=8).digest()
 
@@ -375,7 +380,7 @@
     return [1 << power for power in range((size - 1).bit_length())]
 
 
-def _weigh_load(member: Member) -> int:
+def _estimate_load_bytes(member: Member) -> int:
     return (
         len(member.reports) * _REPORT_BYTES
         + len(member.dispatched) * _DISPATCHED_BYTES
--- a/src/kelproad/coordination/membership.py
+++ b/src/kelproad/coordination/membership.py
@@ -1,8 +1,8 @@
-"""Membership: who else is there, what they see and what they have in force.
+"""Membership: the live instances, their load and their configuration.
 
-Once a period an instance sends its own record, and what it has heard that the
-receiver has not, to a few peers; ``gossip.py`` chooses both.  The platform's
-lagging list only says whom to try.
+In every round an instance sends its own record, and received records that the
+peer lacks, to a few peers; ``gossip.py`` selects the peers and the records.
+The platform's list of instances lags and only provides addresses to try.
 """
 
 import asyncio
@@ -41,18 +41,21 @@
 
 __all__ = ['Membership']
 
+#: Seconds between two reads of the platform's list of instances.
 _LISTING_PERIOD = 1.0
-_STORE_TIMEOUT = 2.0
-#: Seconds between two rounds above which this process must have been paused.
-_PAUSE_AFTER = 1.5
-#: Seconds that a stopping instance waits for its last message to leave.
-_FAREWELL = 0.1
-#: Steps of a second in which the age of a report is told.
+#: Seconds that one read of the list may take.
+_LISTING_TIMEOUT = 2.0
+#: Seconds by which a round may be delayed; beyond that this process must have
+#: been paused.
+_PAUSE_THRESHOLD = 1.5
+#: Seconds that a stopping instance waits for its departure message to be sent.
+_DEPARTURE_WAIT = 0.1
+#: Steps per second to which the ages of reports are rounded.
 _AGE_STEPS = 32
-#: Seconds between two answers to the suspicions of one peer.
-_ANSWER_GAP = 0.2
-#: Seconds for which a watcher repeats what it last read from an engine.
-_REPORT_KEPT = 3.0
+#: Minimum seconds between two replies to the suspicions of one peer.
+_REPLY_INTERVAL = 0.2
+#: Seconds for which a watcher keeps advertising its last report of an engine.
+_REPORT_RETENTION = 3.0
 
 
 class Membership(BackgroundService):
@@ -73,7 +76,7 @@
         generator: random.Random,
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        """Exchange records by the instance's settings."""
+        """Add the peer listener; links to peers are opened on first use."""
         super().__init__()
         self._settings = settings
         self._key = settings.peer_key.encode()
@@ -95,11 +98,11 @@
             members,
             generator,
         )
-        self._own = self._build_record()
-        self._rounded_at: float | None = None
-        self._busy: set[str] = set()
-        self._answered: dict[str, float] = {}
-        self._zones: dict[str, str] = {}
+        self._local_record = self._build_record()
+        self._last_round_at: float | None = None
+        self._loaded_endpoints: set[str] = set()
+        self._replied_at: dict[str, float] = {}
+        self._listed_zones: dict[str, str] = {}
         self._links: dict[str, PeerLink] = {}
         self.draining = False
         self.limits = WorkspaceLimits(members, table, counters)
@@ -112,14 +115,14 @@
         )
 
     async def on_stop(self) -> None:
-        """Say that this instance leaves, and close the links to all peers."""
+        """Announce the departure, then close the links to all peers."""
         self.leave()
-        await asyncio.sleep(_FAREWELL)
+        await asyncio.sleep(_DEPARTURE_WAIT)
         for link in self._links.values():
             link.close()
 
     def send(self, address: str, message: PeerMessage) -> int:
-        """Send a message to a peer address; return its bytes."""
+        """Send a message to a peer address and return its size in bytes."""
         encoded = encode_message(message, self._key)
         if address not in self._links:
             self._links[address] = PeerLink(
@@ -132,7 +135,7 @@
         return len(encoded)
 
     async def receive(self, received: bytes) -> None:
-        """Take a message from any peer."""
+        """Dispatch a message from any peer; drop it if it doesn't decode."""
         self._counters.peer_bytes.add({'direction': 'received'}, len(received))
         decoded = decode_message(received, self._key)
         if isinstance(decoded, Failure):
@@ -143,25 +146,25 @@
             case Gossip(members=members):
                 self._merge(members)
             case ChangesWanted() as wanted:
-                self._answer_wanted(wanted)
+                self._send_changes(wanted)
             case Changes() as changes:
                 await self._follower.take_changes(changes)
 
     def leave(self) -> None:
-        """Tell every peer that this instance has ended on purpose.
+        """Send a departure message to every peer.
 
-        Without it the others would wait in vain for a heartbeat, and the
-        first reports of this instance's engines would be missing as long.
+        Without it peers would count this instance as live until its heartbeat
+        times out, and the engines it watched would go unreported for as long.
         """
-        self._own = attrs.evolve(self._next_version(), left=True)
+        self._local_record = attrs.evolve(self._next_version(), left=True)
         self._send_records(list(self._list_addresses(self._clock())))
 
     def announce(self) -> None:
-        """Send the current records to this period's peers."""
+        """Send the current records to the peers of this round."""
         now = self._clock()
-        self._excuse_pause(now)
+        self._account_for_pause(now)
         if self._gossiper.needs_version(now):
-            self._own = self._next_version()
+            self._local_record = self._next_version()
         listed = self._list_addresses(now)
         self._send_records(self._gossiper.choose_targets(now, listed))
 
@@ -175,15 +178,15 @@
     async def _follow_listing(self) -> None:
         while not self.should_stop:
             await self._read_listing()
-            self._drop_vanished(self._clock())
+            self._drop_unused_links(self._clock())
             await self.sleep(_LISTING_PERIOD)
 
     async def _read_listing(self) -> None:
-        listed = await self._platform.list_instances(_STORE_TIMEOUT)
+        listed = await self._platform.list_instances(_LISTING_TIMEOUT)
         if isinstance(listed, Failure):
             return
         listing = listed.unwrap()
-        self._zones = {
+        self._listed_zones = {
             instance.peer_address: instance.zone
             for instance in listing.instances
         }
@@ -205,9 +208,9 @@
 
     def _next_version(self) -> Member:
         now = self._clock()
-        version = self._own.version + 1
+        version = self._local_record.version + 1
         return attrs.evolve(
-            self._own,
+            self._local_record,
             version=version,
             revision=self._holder.current.revision,
             draining=self.draining,
@@ -227,7 +230,7 @@
                 )
                 for endpoint in self._table.all().values()
                 if endpoint.read_here
-                and now - endpoint.reported_at <= _REPORT_KEPT
+                and now - endpoint.reported_at <= _REPORT_RETENTION
             ],
             demand=self.limits.describe_demand(),
             dispatched_by_class={
@@ -242,38 +245,38 @@
         now = self._clock()
         room = self._gossiper.refill(now) / max(1, len(addresses))
         for address in addresses:
-            packed = self._gossiper.pack(address, self._own, now, room)
+            packed = self._gossiper.pack(address, self._local_record, now, room)
             self._gossiper.spend(self.send(address, Gossip(packed)))
 
-    def _excuse_pause(self, now: float) -> None:
-        if self._rounded_at is not None:
-            pause = now - self._rounded_at - PERIOD
-            if pause > _PAUSE_AFTER:
+    def _account_for_pause(self, now: float) -> None:
+        if self._last_round_at is not None:
+            pause = now - self._last_round_at - PERIOD
+            if pause > _PAUSE_THRESHOLD:
                 self._members.excuse(pause)
-                self.log.info('was paused for %.1f s', pause)
-        self._rounded_at = now
+                self.log.info('process was paused for %.1f s', pause)
+        self._last_round_at = now
 
     def _list_addresses(self, now: float) -> dict[str, str]:
-        heard = {
+        live = {
             member.peer_address: member.zone
             for member in self._members.live(now)
         }
-        # Seeds have no known zone.  They are tried also while others are heard:
-        # instances that started from different seeds would else stay in
-        # groups that never meet while the platform's list is not to be had.
+        # Seeds have no known zone.  They are tried even while peers are live:
+        # otherwise instances that started from different seeds would stay in
+        # separate groups while the platform's list is unavailable.
         seeds = dict.fromkeys(self._settings.seeds, '')
-        listed = {**seeds, **self._zones, **heard}
+        listed = {**seeds, **self._listed_zones, **live}
         listed.pop(self._settings.reachable_peer_address, None)
         return listed
 
-    def _drop_vanished(self, now: float) -> None:
-        """Close the links to addresses that nobody names any more.
+    def _drop_unused_links(self, now: float) -> None:
+        """Close the links to addresses that are no longer in use.
 
         Instances are replaced hundreds of times a day, each time at another
-        address; a link kept for each would dial a dead address for ever.
+        address; a link kept for each would redial a dead address forever.
         """
         self._members.forget(now)
-        self._answered.clear()
+        self._replied_at.clear()
         kept = set(self._list_addresses(now))
         kept |= {member.peer_address for member in self._members.known()}
         self._gossiper.keep_peers(kept)
@@ -285,36 +288,40 @@
         self._gossiper.note_received(members)
         for member in members:
             if member.name == self._identity.instance:
-                self._answer_own(member, members[0])
+                self._reply_about_self(member, members[0])
                 continue
             if self._members.merge(member, now):
-                self._take_reports(member, now)
+                self._accept_reports(member, now)
                 self._follower.hear_member(member)
         self._sum_dispatched()
         mark_leaving(self._table, self._members, now)
 
-    def _answer_own(self, heard: Member, sender: Member) -> None:
-        """Answer a record of this instance that others take for the newest.
+    def _reply_about_self(self, received: Member, sender: Member) -> None:
+        """Reply to a peer whose record of this instance is not the current one.
 
         An instance that restarted after its clock was set back has a lower
-        incarnation than the life before, and its records would be refused as
-        old ones.  It puts itself above by raising its epoch.  An older record
-        is a suspicion, because no other message carries the receiver's own; a
-        newer one sent at once refutes it.  Answers to one peer keep a
-        distance, so that replayed suspicions do not make this instance send
-        without end.
+        incarnation than before, so peers would reject its records as old.  It
+        raises its epoch to get ahead.  An older record is a suspicion, because
+        no other message carries the receiver's own record; sending a newer one
+        at once refutes it.  Replies to one peer are rate-limited, so that
+        replayed suspicions cannot make this instance send endlessly.
         """
         now = self._clock()
-        if heard.order > self._own.order:
-            self._own = attrs.evolve(self._own, epoch=heard.epoch + 1)
-            self.log.info('a record newer than the own one, epoch raised')
-        elif now - self._answered.get(sender.name, 0) < _ANSWER_GAP:
+        if received.order > self._local_record.order:
+            self._local_record = attrs.evolve(
+                self._local_record, epoch=received.epoch + 1
+            )
+            self.log.info(
+                'received a record of this instance newer than its own; '
+                'epoch raised',
+            )
+        elif now - self._replied_at.get(sender.name, 0) < _REPLY_INTERVAL:
             return
-        self._answered[sender.name] = now
-        self._own = self._next_version()
+        self._replied_at[sender.name] = now
+        self._local_record = self._next_version()
         self._send_records([sender.peer_address])
 
-    def _take_reports(self, member: Member, now: float) -> None:
+    def _accept_reports(self, member: Member, now: float) -> None:
         for report in member.reports:
             endpoint = self._table.get(report.endpoint)
             if endpoint is not None:
@@ -326,15 +333,15 @@
         totals: collections.Counter[str] = collections.Counter()
         for member in live:
             totals.update(member.dispatched)
-        # Only endpoints with work are visited: there are thousands without.
-        for name in self._busy | totals.keys():
+        # Visit only endpoints with work: there are thousands without.
+        for name in self._loaded_endpoints | totals.keys():
             endpoint = self._table.get(name)
             if endpoint is not None:
                 endpoint.peer_tokens = totals[name]
                 endpoint.peer_by_class = _sum_classes(name, live)
-        self._busy = set(totals)
+        self._loaded_endpoints = set(totals)
 
-    def _answer_wanted(self, wanted: ChangesWanted) -> None:
+    def _send_changes(self, wanted: ChangesWanted) -> None:
         changes = list_changes(
             self._holder.current,
             self._settings,
@@ -345,7 +352,7 @@
 
 
 def _sum_classes(endpoint: str, live: list[Member]) -> list[int]:
-    """Sum what the members have in flight at an endpoint, by class."""
+    """Sum the members' prompt tokens in flight at an endpoint, by class."""
     by_class = [
         member.dispatched_by_class[endpoint]
         for member in live
