--- a/src/kelproad/coordination/gossip.py
+++ b/src/kelproad/coordination/gossip.py
@@ -80,7 +80,7 @@
         members: MemberTable,
         generator: random.Random,
     ) -> None:
-        """Send the records of a table; ``generator`` makes the random choices."""
+        """Send a table's records; ``generator`` makes the random choices."""
         self._place = place
         self._members = members
         self._generator = generator
@@ -210,7 +210,7 @@
         return [ring[(at + stride) % len(ring)][1] for stride in due]
 
     def _choose_bridges(self, now: float) -> list[str]:
-        """Choose a peer in each zone and region that this instance bridges to."""
+        """Choose a peer in each zone and region this instance bridges to."""
         if self._round % _BRIDGE_INTERVAL:
             return []
         place = self._place
@@ -229,8 +229,8 @@
         }
         chosen = []
         for side, remote in by_side.items():
-            local = local_region if side.startswith('region ') else local_zone
-            if place.name in _rank_bridges(side, local):
+            here = local_region if side.startswith('region ') else local_zone
+            if place.name in _rank_bridges(side, here):
                 chosen.append(self._choose_remote_peer(place.name, remote))
         return chosen
 
