--- a/src/kelproad/coordination/failures.py
+++ b/src/kelproad/coordination/failures.py
@@ -1,4 +1,4 @@
-"""Failed loads: when an engine may try again, and which versions to stop."""
+"""Failed loads: when an engine may retry, and which versions to stop."""
 
 import collections
 
@@ -10,22 +10,24 @@
 
 __all__ = ['LoadFailures']
 
-#: Failed loads after which a version is rolled out no further.
+#: Failed loads after which the rollout of a version stops.
 FAILURES_TO_STOP = 2
-#: Seconds for which an engine rests after a failed load.
+#: Seconds from a failed load_id to the next order, unless the engine names others.
 _PAUSE = 2.0
 
 
 class LoadFailures:
-    """What the holder of a zone's orders knows of failed loads."""
+    """Failed loads known to the holder of a zone's order lease."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without failures; see ``restore`` for the stopped versions."""
         self.stopped: frozenset[Failed] = frozenset()
-        #: Engines that rest, with the monotonic time from which they may load.
+        #: Monotonic time before which an engine gets no new load_id, by name.
         self.not_before: dict[str, float] = {}
-        self._counted: dict[tuple[str, str], tuple[str, int]] = {}
-        self._times: collections.Counter[Failed] = collections.Counter()
+        self._counted_loads: dict[tuple[str, str], tuple[str, int]] = {}
+        self._failure_counts: collections.Counter[Failed] = (
+            collections.Counter()
+        )
 
     def note(
         self,
@@ -34,30 +36,33 @@
         held: ModelState,
         now: float,
     ) -> bool:
-        """Count each failed load once; tell whether its version now stops.
+        """Count each failed load_id once; return whether its version now stops.
 
-        A load that the weight store turned away is no failure.
+        A load_id that the weight store rejected for now is not a failure.
         """
         key = (desired.endpoint, held.model)
-        load = (state.incarnation, held.attempt)
+        load_id = (state.incarnation, held.attempt)
         is_failed = held.phase is ModelPhase.FAILED
-        if not is_failed or self._counted.get(key) == load:
+        if not is_failed or self._counted_loads.get(key) == load_id:
             return False
-        self._counted[key] = load
-        pause = held.retry_after or _PAUSE
-        self.not_before[desired.endpoint] = now + pause
+        self._counted_loads[key] = load_id
+        delay = held.retry_after or _PAUSE
+        self.not_before[desired.endpoint] = now + delay
         wanted = {item.model: item for item in desired.models}.get(held.model)
         if held.retry_after or wanted is None:
             return False
         failed = Failed(held.model, held.version, wanted.generation)
-        self._times[failed] += 1
-        if failed in self.stopped or self._times[failed] < FAILURES_TO_STOP:
+        self._failure_counts[failed] += 1
+        if (
+            failed in self.stopped
+            or self._failure_counts[failed] < FAILURES_TO_STOP
+        ):
             return False
         self.stopped |= {failed}
         return True
 
     def forget(self, desired: dict[str, DesiredState]) -> None:
-        """Give a version that was applied again another chance."""
+        """Forget stopped versions that were applied again or removed."""
         wanted = {
             (model.model, model.generation)
             for item in desired.values()
@@ -70,11 +75,11 @@
         )
 
     def encode(self) -> str:
-        """Encode what the next holder must know."""
+        """Encode the stopped versions for the next holder, as JSON."""
         ordered = sorted(self.stopped, key=attrs.astuple)
         return msgspec.json.encode(ordered).decode()
 
     def restore(self, note: str) -> None:
-        """Take over what the last holder knew."""
+        """Replace the stopped versions by those of the previous holder."""
         decoded = msgspec.json.decode(note or '[]', type=list[Failed])
         self.stopped = frozenset(decoded)
--- a/src/kelproad/coordination/orders.py
+++ b/src/kelproad/coordination/orders.py
@@ -1,8 +1,8 @@
-"""Orders: the holder of a zone keeps its engines at what the files declare.
+"""Orders: a zone's lease holder keeps its engines in the declared state.
 
-Every pass reads what the engines report, compares, and orders the difference.
-An order that was lost, or a stale one that was given by an earlier holder, is
-therefore corrected by the next pass.
+Every reconciliation reads the state of the engines, compares it with the
+declared one and orders the differences.  An order that was lost, or a stale
+one of an earlier holder, is therefore corrected by the next reconciliation.
 """
 
 import asyncio
@@ -40,16 +40,19 @@
 
 #: Instances of a zone that contend for its lease.
 CANDIDATES = 2
+#: Seconds between two reconciliations.
 _PERIOD = 1.0
+#: Seconds for reading the state of an engine.
 _READ_TIMEOUT = 1.0
-#: Looks at the lease between two renewals; one is late by a look at most.
-_LOOKS = 10
-#: Seconds added wherever the end of a lease or of an order is waited for.
+#: Checks of the lease per renewal interval; a renewal is delayed by one check
+#: at most.
+_RENEWAL_CHECKS = 10
+#: Seconds added to every wait for the end of a lease or of an order.
 _MARGIN = 0.25
 
 
 class OrderKeeper(BackgroundService):
-    """Gives the orders of the instance's zone while it holds the lease."""
+    """Sends orders to the engines of the zone while it holds the lease."""
 
     abstract = False
 
@@ -82,22 +85,22 @@
             lease_seconds,
         )
         self._counted_writes = 0
-        self._token_caught_up = 0
+        self._caught_up_token = 0
         self._withheld: dict[str, float] = {}
         self._failures = LoadFailures()
         self._notes: dict[str, str] = {}
-        #: Endpoints last withheld, and the snapshot whose endpoints they were.
-        self._spread: frozenset[str] = frozenset()
-        self._spread_in = holder.current
+        #: Endpoints last withheld from routing, and the snapshot they are of.
+        self._applied_withheld: frozenset[str] = frozenset()
+        self._applied_snapshot = holder.current
 
     async def on_stop(self) -> None:
-        """Let another instance begin at once."""
+        """Release the lease, so that another instance need not wait."""
         await self._lease.give_back()
 
     async def reconcile(self) -> None:
-        """Compare the engines with what is wanted, and order the difference."""
+        """Compare the engines with the desired state, order differences."""
         if not self._lease.is_held:
-            # While it was not, requests may have gone to engines withheld.
+            # Meanwhile requests may have gone to withheld engines.
             self._withheld = {}
         desired: dict[str, DesiredState] = {}
         if self._is_candidate():
@@ -109,10 +112,10 @@
         else:
             self._withheld = {}
             self._notes = {}
-        self._spread_withheld()
+        self._apply_withheld()
 
     def describe(self) -> dict[str, object]:
-        """Describe the orders of the zone, for people."""
+        """Describe the orders of the zone, for operators."""
         return {
             'holder': self._lease.body.holder,
             'token': self._lease.body.token,
@@ -131,17 +134,17 @@
 
     @Service.task
     async def _renew_periodically(self) -> None:
-        """Renew beside the passes.
+        """Renew the lease independently of reconciliations.
 
-        A pass may take longer than a lease: at a takeover each engine that
-        checks tokens is told the new one in turn, and those that are slow take
-        a second each.  Renewed by passes alone, the lease would be lost in the
-        midst of each of them, and the telling begun anew with another token.
+        A reconciliation may take longer than a lease: after a takeover the new
+        token is sent to one engine after the other, and a slow engine takes a
+        second.  Renewed only by reconciliations, the lease would expire during
+        each of them, and all engines would need yet another token.
         """
         while not self.should_stop:
             await self._lease.renew()
             self._count_writes()
-            await self.sleep(self._lease.share / _LOOKS)
+            await self.sleep(self._lease.share / _RENEWAL_CHECKS)
 
     def _count_writes(self) -> None:
         added = self._lease.writes - self._counted_writes
@@ -152,15 +155,15 @@
         is_held = await self._lease.keep()
         self._count_writes()
         token = self._lease.body.token
-        if is_held and token != self._token_caught_up:
+        if is_held and token != self._caught_up_token:
             # The earlier holder may have acted on a later revision than the
             # one in force here; ordering by an older one would undo its work.
             caught_up = await self._follower.catch_up()
             if isinstance(caught_up, Failure):
                 return False
-            self._token_caught_up = token
+            self._caught_up_token = token
             self._failures.restore(self._lease.note)
-            self.log.info('holder of %s with token %d', self._name, token)
+            self.log.info('acquired %s with token %d', self._name, token)
         return is_held
 
     def _is_candidate(self) -> bool:
@@ -177,7 +180,7 @@
         observed = await self._observe(desired)
         for endpoint, state in observed.items():
             for item in state.models:
-                self._note_failure(desired[endpoint], state, item)
+                self._record_failure(desired[endpoint], state, item)
         await self._raise_tokens(desired, observed)
         plan = plan_orders(
             Situation(
@@ -195,7 +198,7 @@
         for endpoint, order in plan.orders:
             await self._give(desired[endpoint], order)
 
-    def _note_failure(
+    def _record_failure(
         self,
         desired: DesiredState,
         state: EngineState,
@@ -204,7 +207,7 @@
         if self._failures.note(desired, state, held, monotonic()):
             self._lease.note = self._failures.encode()
             self.log.error(
-                'rollout of %s %s stopped, it fails: %s',
+                'rollout of %s %s stopped, loading failed: %s',
                 held.model,
                 held.version,
                 held.reason,
@@ -248,11 +251,11 @@
         desired: dict[str, DesiredState],
         observed: dict[str, EngineState],
     ) -> None:
-        """Make engines that check tokens know this holder's.
+        """Send this holder's token to the engines that check tokens.
 
-        An engine that is right gets no order, so it would not hear of a new
-        holder, and would take a stale order of the last one.  An order to have
-        the role that it has changes nothing but that.
+        An engine in the desired state gets no order, so it would not learn the
+        new token and would accept a stale order of the previous holder.  An
+        order for the role that it already has changes nothing else.
         """
         for endpoint, state in observed.items():
             item = desired[endpoint]
@@ -271,10 +274,10 @@
         """Check the lease right before an order.
 
         The order must have ended before the lease does.  An engine that
-        ignores the token would also take an order of the earlier holder that
-        is still under way, so there the new one waits until that has ended.
-        A process that is paused between this check and the sending is not
-        stopped by it; the next holder's passes undo what it did.
+        ignores the token would also accept an order of the previous holder
+        that is still in flight, so there the new holder waits until that has
+        ended.  This does not stop a process that is paused between the check
+        and the send; the next holder's reconciliations undo such an order.
         """
         limit = ORDER_TIMEOUT + _MARGIN
         if self._lease.remaining < limit:
@@ -283,16 +286,19 @@
             return True
         return monotonic() - self._lease.taken_at >= limit
 
-    def _spread_withheld(self) -> None:
-        """Withhold what any holder withholds, from the requests of here."""
+    def _apply_withheld(self) -> None:
+        """Exclude the engines that any holder withholds from local routing."""
         self._table.withheld_here = frozenset(self._withheld)
         names = self._table.withheld_here.union(
             *(member.withheld for member in self._members.live(monotonic())),
         )
         snapshot = self._holder.current
-        if names != self._spread or snapshot is not self._spread_in:
-            self._spread = names
-            self._spread_in = snapshot
+        if (
+            names != self._applied_withheld
+            or snapshot is not self._applied_snapshot
+        ):
+            self._applied_withheld = names
+            self._applied_snapshot = snapshot
             self._table.withhold(names)
 
 
--- a/src/kelproad/coordination/orphans.py
+++ b/src/kelproad/coordination/orphans.py
@@ -1,9 +1,9 @@
-"""Finding what engines hold for owners that will never release it.
+"""Release of items that engines hold for owners that no longer exist.
 
-An instance that ends without warning leaves its streams, exports and pins in
-the engines' memory.  The watchers of an engine list what it holds and release
-what has no owner any more.  Cutting a live stream is worse than holding
-memory a little longer, so doubt always ends with waiting for the deadline.
+An instance that crashes leaves its streams, exports and pins in the engines'
+memory.  The watchers of an engine list the items that it holds and release
+those without an owner.  Aborting a live stream is worse than holding memory a
+little longer, so an unclear case waits for the deadline.
 """
 
 import asyncio
@@ -26,17 +26,18 @@
 
 __all__ = ['Evidence', 'OrphanWatch', 'Ownership', 'judge_held']
 
-#: Seconds between two looks at an engine's memory.
+#: Seconds between two checks of the items that an engine holds.
 _PERIOD = 3.0
+#: Seconds for one call to an engine.
 _TIMEOUT = 1.0
-#: Seconds past the deadline for which the owner's own cancel is given time.
+#: Seconds past the deadline that the owner has to cancel by itself.
 DEADLINE_MARGIN = 5.0
-#: Seconds after which the platform's list proves nothing any more.
+#: Seconds after which the platform's list is too old to be evidence.
 _LISTING_VALID = 10.0
 
 
 class Evidence(enum.StrEnum):
-    """Why something held has no owner any more."""
+    """Why an item held by an engine has no owner any more."""
 
     PAST_DEADLINE = 'past deadline'
     REPLACED = 'owner replaced'
@@ -46,23 +47,26 @@
 
 @attrs.frozen
 class Ownership:
-    """What is known of owners at one moment.
+    """The state of the owners of items at one moment.
 
     Attributes
     ----------
+    own
+        This process as an owner: instance and incarnation.
+    recorded
+        Items that this process has on record.
     incarnations
-        Highest incarnation heard of, by instance.
+        Highest known incarnation of each instance.
     silent
-        Seconds since an instance was last heard of; for one never heard of,
-        since the watch began.
+        Seconds since a record of an instance was last received.
     watched_for
-        Seconds since the watch began.
+        Seconds since the watch began; used for instances not in ``silent``.
     listed
-        Instances on the platform's list; ``None`` if no recent one is held.
+        Instances on the platform's list; ``None`` if no recent list is known.
     zones_heard
-        Whether every availability zone has an instance that is heard now.
+        Whether every availability zone has a live instance.
     forgotten_after
-        Seconds of silence after which an unlisted instance counts as gone.
+        Seconds of silence after which an unlisted instance counts as departed.
     """
 
     own: str
@@ -75,11 +79,11 @@
     forgotten_after: float
 
     def is_forgotten(self, instance: str) -> bool:
-        """Tell whether nobody knows of an instance any more.
+        """Return whether neither the platform nor peers know an instance.
 
-        The platform takes an instance off its list also when only its zone
-        is cut off.  Then no instance of that zone is heard of here, so that
-        silence proves something only while every zone is heard.
+        The platform also removes an instance from its list when its zone is
+        cut off.  Then no instance of that zone is live here, so silence is
+        evidence only while every zone has a live instance.
         """
         if self.listed is None or not self.zones_heard:
             return False
@@ -88,7 +92,7 @@
 
 
 class OrphanWatch(BackgroundService):
-    """Releases what the engines that this instance watches hold in vain."""
+    """Releases orphaned items in the engines that this instance watches."""
 
     abstract = False
 
@@ -103,7 +107,7 @@
         counters: Counters,
         forgotten_after: float,
     ) -> None:
-        """Watch engines of a table, sharing them with the members."""
+        """Share the engines of a table among the live members of the zone."""
         super().__init__()
         self._identity = identity
         self._holder = holder
@@ -113,10 +117,10 @@
         self._recorded = recorded
         self._counters = counters
         self._forgotten_after = forgotten_after
-        self._began = monotonic()
+        self._started_at = monotonic()
 
     @Service.task
-    async def _look_periodically(self) -> None:
+    async def _check_periodically(self) -> None:
         while not self.should_stop:
             await self.sleep(_PERIOD)
             watched = list_watched(
@@ -125,9 +129,9 @@
                 self._members,
                 monotonic(),
             )
-            await asyncio.gather(*map(self._look, watched))
+            await asyncio.gather(*map(self._check_engine, watched))
 
-    async def _look(self, endpoint: Endpoint) -> None:
+    async def _check_engine(self, endpoint: Endpoint) -> None:
         url = Address.from_text(endpoint.declaration.address).url
         held = await self._engines.list_held(url, _TIMEOUT)
         ownership = self._gather_ownership()
@@ -136,7 +140,7 @@
             if evidence is None:
                 continue
             if not await self._release(url, item, evidence):
-                # The engine answers no more; the next look goes on.
+                # The engine did not answer; the next check continues.
                 return
 
     async def _release(
@@ -164,7 +168,7 @@
         now = monotonic()
         members = self._members
         identity = self._identity
-        heard_zones = {member.zone for member in members.live(now)}
+        live_zones = {member.zone for member in members.live(now)}
         deployment = self._holder.current.deployment
         zones = set(deployment.zones) if deployment else {''}
         recent = now - members.listed_at <= _LISTING_VALID
@@ -174,27 +178,28 @@
             recorded=self._recorded,
             incarnations={**known, identity.instance: identity.incarnation},
             silent={name: now - members.heard_at(name) for name in known},
-            watched_for=now - self._began,
+            watched_for=now - self._started_at,
             listed=members.listed if recent else None,
-            zones_heard=zones <= heard_zones | {identity.zone},
+            zones_heard=zones <= live_zones | {identity.zone},
             forgotten_after=self._forgotten_after,
         )
 
 
 def judge_held(item: HeldItem, ownership: Ownership) -> Evidence | None:
-    """Say why something held has no owner any more, or ``None``.
-
-    Past its deadline nobody waits for it: the owner has told its caller so.
-    A higher incarnation of the owner means that the life which held it is
-    over, unless a connection still reads it: then the old process is being
-    replaced and finishes what it has.  What this very process does not have on
-    record, it has given up, since the record is made before the dispatch.  An
-    owner that neither platform nor peers know of is gone if the engine says
-    that no connection reads the stream; else it may only be cut off.
+    """Return why an item has no owner any more, or ``None`` if it may.
+
+    Past its deadline nobody waits for it: the owner has refused the call by
+    then.  A higher incarnation of the owner means that the process which held
+    the item has exited, unless a connection still reads it: then the old
+    process is being replaced and finishes its calls.  An item of this process
+    that it has not on record is abandoned, since the record is made before the
+    dispatch.  An owner that neither the platform nor peers know is taken as
+    departed only if the engine reports that no connection reads the stream;
+    otherwise it may just be cut off.
     """
     instance, _, text = item.owner.rpartition(':')
     if not instance or not text.isdecimal():
-        # Somebody else uses the engine as well; that is not ours to release.
+        # The owner is not an instance: another client uses the engine too.
         return None
     if item.remaining < -DEADLINE_MARGIN:
         return Evidence.PAST_DEADLINE
@@ -202,12 +207,12 @@
     if replaced and not item.attached:
         return Evidence.REPLACED
     if item.owner == ownership.own:
-        return _judge_own(item, ownership.recorded)
+        return _check_record(item, ownership.recorded)
     if ownership.is_forgotten(instance) and item.attached is False:
         return Evidence.FORGOTTEN
     return None
 
 
-def _judge_own(item: HeldItem, recorded: HoldingTable) -> Evidence | None:
+def _check_record(item: HeldItem, recorded: HoldingTable) -> Evidence | None:
     known = recorded.get(item.item_id) is not None
     return None if known or item.kind != STREAM else Evidence.UNRECORDED
--- a/src/kelproad/coordination/rollout.py
+++ b/src/kelproad/coordination/rollout.py
@@ -1,8 +1,8 @@
-"""Rollout: which orders an engine fleet needs next, decided without any I/O.
+"""Rollout: the next orders that an engine fleet needs, without any I/O.
 
 An engine whose model must be replaced is first withheld from new requests,
-then drained, then ordered.  That happens to few engines at a time, and never
-to the last one that is ready for a model in its zone.
+then drained, then sent the order.  Only a few engines do so at a time, and
+never the last one that is ready for a model in its zone.
 """
 
 from collections.abc import Mapping
@@ -23,13 +23,13 @@
 __all__ = ['Failed', 'Plan', 'Situation', 'plan_orders']
 
 #: Seconds for which an engine is withheld before its streams are counted, so
-#: that every instance has heard of it and none sends it another request.
+#: that every instance knows of it and none sends it another request.
 SPREAD_SECONDS = 3.0
 
 
 @attrs.frozen
 class Failed:
-    """A version of a model whose rollout stopped because it failed."""
+    """A model version whose rollout was stopped because loads failed."""
 
     model: str
     version: str
@@ -38,18 +38,17 @@
 
 @attrs.frozen
 class Situation:
-    """Everything that decides the next orders of one zone.
+    """The state of one zone from which the next orders are planned.
 
     Attributes
     ----------
     observed
-        What each engine reported just now; an engine that did not answer is
-        left out.
+        Latest state of each engine; an engine that did not answer is missing.
     withheld
-        Engines withheld, with the monotonic time since when.
+        Withheld engines, with the monotonic time at which that began.
     not_before
-        Engines that the weight store turned away, with the monotonic time
-        from which they may try again.
+        Engines whose last load failed or was rejected by the weight store,
+        with the monotonic time from which they may try again.
     """
 
     desired: Mapping[str, DesiredState]
@@ -63,7 +62,7 @@
 
 @attrs.define
 class Plan:
-    """The next orders, the engines to withhold, and what to tell people."""
+    """The next orders, the engines to withhold, and notes for operators."""
 
     orders: list[tuple[str, Order]] = attrs.field(factory=list)
     withheld: dict[str, float] = attrs.field(factory=dict)
@@ -72,14 +71,14 @@
 
 @attrs.frozen
 class _Difference:
-    """An order that is needed, and whether it takes something away."""
+    """A needed order, and whether it would interrupt running streams."""
 
     order: Order
     is_disruptive: bool
 
 
 def plan_orders(situation: Situation) -> Plan:
-    """Plan the next orders of a zone."""
+    """Plan the next orders of a zone, in the order of endpoint names."""
     plan = Plan()
     busy = _count_busy(situation)
     for endpoint in sorted(situation.desired):
@@ -90,8 +89,8 @@
         found = _find_differences(situation, endpoint, state)
         if found:
             group = situation.desired[endpoint].group
-            inside = busy.setdefault(group.name, set())
-            _plan_in_turn(situation, plan, endpoint, found, inside)
+            group_busy = busy.setdefault(group.name, set())
+            _plan_in_turn(situation, plan, endpoint, found, group_busy)
         else:
             _note_loading(situation, plan, endpoint)
     return plan
@@ -117,7 +116,7 @@
     endpoint: str,
     found: list[_Difference],
 ) -> bool:
-    """Plan for one engine; tell whether it now counts as loading."""
+    """Plan for one engine; return whether it now counts as loading."""
     not_before = situation.not_before.get(endpoint, situation.now)
     if situation.now < not_before:
         plan.notes[endpoint] = 'waits for the weight store'
@@ -215,7 +214,7 @@
     if is_same and held.phase is not ModelPhase.FAILED:
         return None
     is_ready = held.phase is ModelPhase.READY
-    # Adapters are exchanged beside the streams; only a version is not.
+    # Adapters can be exchanged while streams run; a version cannot.
     return _Difference(order, is_disruptive=is_ready and not is_version)
 
 
@@ -224,10 +223,10 @@
     desired: DesiredState,
     wanted: DesiredModel,
 ) -> DesiredModel:
-    """Choose the version wanted, or while that failed the one that works.
+    """Choose the declared version, or a working one if its rollout stopped.
 
-    The engines that were not changed still run the earlier version; those on
-    which the new one failed go back to it.
+    Engines that were not changed still run the earlier version; those on which
+    the new one failed go back to the version that most engines have ready.
     """
     failed = Failed(wanted.model, wanted.version, wanted.generation)
     if failed not in situation.stopped:
@@ -251,7 +250,7 @@
     plan: Plan,
     endpoint: str,
 ) -> str:
-    """Find a model for which no other engine of the zone is ready."""
+    """Return a model that no other engine has ready, or an empty string."""
     withheld = {*situation.withheld, *plan.withheld}
     for wanted in situation.desired[endpoint].models:
         ready = {
