--- a/src/kelproad/coordination/failures.py
+++ b/src/kelproad/coordination/failures.py
@@ -12,7 +12,7 @@
 
 #: Failed loads after which the rollout of a version stops.
 FAILURES_TO_STOP = 2
-#: Seconds from a failed load_id to the next order, unless the engine names others.
+#: Seconds to wait after a failed load, unless the engine names a time.
 _PAUSE = 2.0
 
 
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         """Start without failures; see ``restore`` for the stopped versions."""
         self.stopped: frozenset[Failed] = frozenset()
-        #: Monotonic time before which an engine gets no new load_id, by name.
+        #: Monotonic time before which an engine gets no new load, by name.
         self.not_before: dict[str, float] = {}
         self._counted_loads: dict[tuple[str, str], tuple[str, int]] = {}
         self._failure_counts: collections.Counter[Failed] = (
@@ -36,18 +36,18 @@
         held: ModelState,
         now: float,
     ) -> bool:
-        """Count each failed load_id once; return whether its version now stops.
+        """Count each failed load once; return whether its version now stops.
 
-        A load_id that the weight store rejected for now is not a failure.
+        A load that the weight store rejected for now is not a failure.
         """
         key = (desired.endpoint, held.model)
-        load_id = (state.incarnation, held.attempt)
+        load = (state.incarnation, held.attempt)
         is_failed = held.phase is ModelPhase.FAILED
-        if not is_failed or self._counted_loads.get(key) == load_id:
+        if not is_failed or self._counted_loads.get(key) == load:
             return False
-        self._counted_loads[key] = load_id
-        delay = held.retry_after or _PAUSE
-        self.not_before[desired.endpoint] = now + delay
+        self._counted_loads[key] = load
+        pause = held.retry_after or _PAUSE
+        self.not_before[desired.endpoint] = now + pause
         wanted = {item.model: item for item in desired.models}.get(held.model)
         if held.retry_after or wanted is None:
             return False
