--- a/src/kelproad/coordination/drain.py
+++ b/src/kelproad/coordination/drain.py
@@ -1,8 +1,8 @@
-"""A planned stop: nothing in progress is cut.
+"""Drain: a planned stop that interrupts no call in progress.
 
-First the instance says that it is leaving and goes on taking what a lagging
-balancer still sends; then it refuses; then it waits for what is in progress,
-each request bounded by its own deadline.
+First the instance reports that it is leaving, but still accepts the calls of
+lagging balancers; then it refuses new calls; then it waits for the calls in
+progress, each bounded by its own deadline.
 """
 
 import asyncio
@@ -17,18 +17,19 @@
 
 __all__ = ['Drain', 'DrainPhase', 'StopEndedError', 'StopTimes']
 
+#: Seconds between two checks for unfinished calls.
 _CHECK_PERIOD = 0.05
-#: Seconds kept before the kill for closing servers and sessions, and for the
-#: last lines of the log.
+#: Seconds reserved before the kill for closing servers and sessions, and for
+#: the last lines of the log.
 _CLOSING_SECONDS = 0.15
 
 
 class StopEndedError(Exception):
-    """The time of a planned stop ran out with a call in hand."""
+    """The time of a planned stop ran out before a call was done."""
 
 
 class DrainPhase(enum.StrEnum):
-    """How far a planned stop has come."""
+    """The phases of a planned stop, in order."""
 
     SERVING = 'serving'
     LEAVING = 'leaving'
@@ -37,17 +38,17 @@
 
 @attrs.frozen
 class StopTimes:
-    """How long the phases of a planned stop last, in seconds.
+    """The durations of a planned stop, in seconds.
 
     Attributes
     ----------
     grace
-        For so long it takes what a lagging balancer still sends.
+        Time in which calls of lagging balancers are still accepted.
     limit
-        For so long after that it waits for what is in progress.
+        Time after that to wait for the calls in progress.
     closing
-        For so long after that it may answer, release and close before the
-        kill.
+        Time after that to answer interrupted calls, release engines and close
+        connections, until the kill.
     """
 
     grace: float
@@ -63,11 +64,11 @@
         count_unfinished: Callable[[], int],
         read_times: Callable[[], StopTimes],
     ) -> None:
-        """Wait for the calls that are counted.
+        """Wait for the calls that ``count_unfinished`` counts.
 
-        ``read_times`` tells how long, once the stop begins: settings may have
-        changed since the process started, and a stop that goes on for longer
-        than the platform now allows ends by the kill.
+        ``read_times`` is called when the stop begins: settings may have changed
+        since the process started, and a stop that takes longer than the
+        platform now allows is killed.
         """
         self._count_unfinished = count_unfinished
         self._read_times = read_times
@@ -75,16 +76,16 @@
         self.phase = DrainPhase.SERVING
         self.started = asyncio.Event()
         self._ends_at = math.inf
-        self._late_at = math.inf
+        self._grace_ends_at = math.inf
         self._kill_at = math.inf
         self._has_ended = False
-        #: Timeouts of the calls in hand; all expire when the stop ends.
+        #: Timeouts of the calls in progress; all expire when the stop ends.
         self._timeouts: set[asyncio.Timeout] = set()
 
     def measure_left(self) -> float:
-        """Return the seconds until the stop gives up what is unfinished.
+        """Return the seconds until unfinished calls are interrupted.
 
-        Infinite while no stop was asked for.
+        Infinite while no stop has been requested.
         """
         return self._ends_at - monotonic()
 
@@ -93,46 +94,46 @@
         return self._kill_at - monotonic()
 
     def bound_closing(self, seconds: float) -> float:
-        """Bound a step after the end, so that the closing still has its time.
+        """Bound the time of a step after the end, to leave time for closing.
 
-        Fixed times for all steps add up to more than is left before the kill
-        when each of them is used to the full on a busy machine.
+        On a busy machine, where each step takes all of its fixed time, these
+        times add up to more than is left before the kill.
         """
         left = self.measure_until_kill() - _CLOSING_SECONDS
         return max(0, min(seconds, left))
 
     @property
     def is_late(self) -> bool:
-        """Whether lagging balancers have had the time to notice.
+        """Whether the grace for lagging balancers has passed.
 
         By the clock: the phase changes later when the event loop is busy.
         """
-        return monotonic() >= self._late_at
+        return monotonic() >= self._grace_ends_at
 
     def start(self) -> None:
-        """Begin the stop; beginning it again changes nothing."""
+        """Begin the stop; further calls have no effect."""
         if self.phase is DrainPhase.SERVING:
             self.phase = DrainPhase.LEAVING
             times = self._read_times()
             self._grace = times.grace
-            self._late_at = monotonic() + times.grace
-            self._ends_at = self._late_at + times.limit
+            self._grace_ends_at = monotonic() + times.grace
+            self._ends_at = self._grace_ends_at + times.limit
             self._kill_at = self._ends_at + times.closing
             self.started.set()
 
     async def finish(self) -> int:
-        """Go through the stop; return how many requests were left."""
+        """Run the stop to its end; return the number of unfinished requests."""
         await asyncio.sleep(self._grace)
         self.phase = DrainPhase.REFUSING
         await self.settle(self.measure_left())
-        # A stop that has nothing in hand ends before its time.  What comes
-        # while the process closes would be taken by the time that seems left,
-        # and be cut a tenth of a second later.
+        # Without calls in progress a stop ends early.  With the old end, calls
+        # that arrive while the process closes would seem to have time left,
+        # be accepted, and be interrupted a tenth of a second later.
         self._ends_at = min(self._ends_at, monotonic())
         return self._count_unfinished()
 
     async def settle(self, seconds: float) -> None:
-        """Wait until no call is unfinished, so many seconds at the most."""
+        """Wait until no call is unfinished, at most some seconds."""
         limit = monotonic() + seconds
         while self._count_unfinished() and monotonic() < limit:
             left = limit - monotonic()
@@ -140,18 +141,18 @@
 
     @contextlib.asynccontextmanager
     async def until_end(self) -> AsyncIterator[None]:
-        """Go on with a call until it is done, or the stop has ended.
+        """Run a call until it is done or the stop has ended.
 
         Raises
         ------
         StopEndedError
-            When the stop has ended, also before the call went on at all.
+            When the stop has ended, even before the call could begin.
         """
         if self._has_ended:
             raise StopEndedError
         try:
             async with asyncio.timeout(None) as timeout:
-                with self._keep(timeout):
+                with self._register(timeout):
                     yield
         except asyncio.TimeoutError:
             if timeout.expired():
@@ -159,17 +160,17 @@
             raise
 
     def end(self) -> int:
-        """End what is in hand, so that each call can still be answered.
+        """Interrupt the calls in progress, so that each can still be answered.
 
-        Otherwise the end of the process closes connections on which callers
+        Otherwise the exit of the process closes connections on which callers
         wait for the first byte of an answer.
 
         Returns
         -------
         int
-            Calls that are interrupted.  One whose whole answer is only being
-            written is not: counted, it would tell operators of a cut that no
-            caller has seen.
+            Interrupted calls.  A call whose complete answer is just being
+            written is not counted: it would be reported to operators as an
+            interruption that no caller has seen.
         """
         self._has_ended = True
         now = asyncio.get_running_loop().time()
@@ -178,7 +179,7 @@
         return len(self._timeouts)
 
     @contextlib.contextmanager
-    def _keep(self, timeout: asyncio.Timeout) -> Iterator[None]:
+    def _register(self, timeout: asyncio.Timeout) -> Iterator[None]:
         self._timeouts.add(timeout)
         try:
             yield
--- a/src/kelproad/coordination/failures.py
+++ b/src/kelproad/coordination/failures.py
@@ -25,9 +25,7 @@
         #: Monotonic time before which an engine gets no new load, by name.
         self.not_before: dict[str, float] = {}
         self._counted_loads: dict[tuple[str, str], tuple[str, int]] = {}
-        self._failure_counts: collections.Counter[Failed] = (
-            collections.Counter()
-        )
+        self._failures: collections.Counter[Failed] = collections.Counter()
 
     def note(
         self,
@@ -52,11 +50,8 @@
         if held.retry_after or wanted is None:
             return False
         failed = Failed(held.model, held.version, wanted.generation)
-        self._failure_counts[failed] += 1
-        if (
-            failed in self.stopped
-            or self._failure_counts[failed] < FAILURES_TO_STOP
-        ):
+        self._failures[failed] += 1
+        if failed in self.stopped or self._failures[failed] < FAILURES_TO_STOP:
             return False
         self.stopped |= {failed}
         return True
--- a/src/kelproad/coordination/lag.py
+++ b/src/kelproad/coordination/lag.py
@@ -1,4 +1,4 @@
-"""Lag: which revision every instance and zone has, and why some are behind."""
+"""Lag: the revision of every instance and zone, and why some are behind."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 __all__ = ['InstanceLag', 'ZoneLag', 'describe_lag', 'summarize_zones']
 
-#: Seconds without confirmation after which a revision is doubted.
+#: Seconds without confirmation after which a revision may be outdated.
 STALE_AFTER = 15.0
 
 
 @attrs.frozen
 class InstanceLag:
-    """What one instance has in force, as far as is known here.
+    """The revision in force at one instance, as far as known here.
 
     Attributes
     ----------
@@ -22,8 +22,10 @@
     age
         Seconds since the instance's revision was confirmed by the platform,
         directly or through peers; ``None`` when it never was.
+    heard_ago
+        Seconds since its newest record arrived here.
     reason
-        Why it is behind or in doubt; empty when it is neither.
+        Why it is behind or unconfirmed; empty when it is neither.
     """
 
     name: str
@@ -38,7 +40,7 @@
 
 @attrs.frozen
 class ZoneLag:
-    """What the instances of a zone have in force at least."""
+    """The range of revisions in force at the instances of a zone."""
 
     zone: str
     instances: int
@@ -53,7 +55,7 @@
     snapshot: Snapshot,
     now: float,
 ) -> list[InstanceLag]:
-    """Describe every instance heard of that has not left, this one first."""
+    """Describe every known instance that has not departed, this one first."""
     others = [
         member
         for member in members.known()
@@ -64,8 +66,8 @@
     highest = max(snapshot.revision, *(member.revision for member in known))
     described = []
     for member in known:
-        is_own = member is own
-        heard_ago = 0 if is_own else now - members.heard_at(member.name)
+        is_local = member is own
+        heard_ago = 0 if is_local else now - members.heard_at(member.name)
         behind = highest - member.revision
         age = member.configuration_age
         age = None if age is None else age + heard_ago
@@ -90,19 +92,19 @@
 
 
 def summarize_zones(instances: list[InstanceLag]) -> list[ZoneLag]:
-    """Summarize instances by zone."""
+    """Summarize instances by zone, in the order of zone names."""
     by_zone: dict[str, list[InstanceLag]] = {}
     for instance in instances:
         by_zone.setdefault(instance.zone, []).append(instance)
     return [
         ZoneLag(
             zone,
-            len(inside),
-            min(instance.revision for instance in inside),
-            max(instance.revision for instance in inside),
-            [instance.name for instance in inside if instance.reason],
+            len(in_zone),
+            min(instance.revision for instance in in_zone),
+            max(instance.revision for instance in in_zone),
+            [instance.name for instance in in_zone if instance.reason],
         )
-        for zone, inside in sorted(by_zone.items())
+        for zone, in_zone in sorted(by_zone.items())
     ]
 
 
@@ -114,8 +116,8 @@
 ) -> str:
     if silent_for:
         return (
-            f'nothing heard for {silent_for}: it ended, or it is cut off '
-            'from here'
+            f'nothing heard for {silent_for}: it has ended, or cannot be '
+            'reached from here'
         )
     if member.pending_files:
         return f'cannot read: {", ".join(member.pending_files)}'
@@ -125,5 +127,5 @@
     if member.configuration_fault:
         return member.configuration_fault
     if behind:
-        return 'the changes are on their way'
-    return 'no reader of its zone has confirmed the revision lately'
+        return 'the changes have not arrived yet'
+    return 'no reader of its zone has recently confirmed the revision'
--- a/src/kelproad/coordination/leaving.py
+++ b/src/kelproad/coordination/leaving.py
@@ -1,8 +1,8 @@
-"""Which endpoints are leaving, by whoever says so.
+"""Endpoints that are about to leave, as reported by the platform's list.
 
-Three say so: the configuration, the engine itself in its load report, and the
-platform's list.  The first two travel between instances anyway.  The list's
-word travels by peers as well, for instances that cannot ask the platform.
+The configuration and the engine's own load report can mark an endpoint as
+leaving, too; both reach all instances in other ways.  The entries of the list
+are advertised to peers, for instances that cannot query the platform.
 """
 
 from ..state.endpoints import EndpointTable
@@ -10,16 +10,16 @@
 
 __all__ = ['list_own_words', 'mark_leaving']
 
-#: Seconds after which an instance no longer passes on what it was told.
+#: Seconds after which an instance no longer advertises the list it read.
 _LISTING_VALID = 5.0
 
 
 def list_own_words(members: MemberTable, now: float) -> list[str]:
-    """List the endpoints that the platform takes away, to tell the peers.
+    """List the endpoints that the platform removes, to advertise to peers.
 
-    Only what the platform itself said a moment ago is passed on.  What was
-    heard from peers is not, or two instances could keep a word alive that the
-    platform took back.
+    Only what the platform itself reported recently is included.  Reports of
+    peers are not forwarded: otherwise two instances could keep one alive that
+    the platform has withdrawn.
     """
     if now - members.listed_at > _LISTING_VALID:
         return []
@@ -31,13 +31,13 @@
     members: MemberTable,
     now: float,
 ) -> None:
-    """Mark the endpoints that the platform takes away, as far as known.
+    """Mark the endpoints that the platform removes, by its list and peers.
 
-    The list that this instance read last counts also when it is old: an
-    endpoint that was leaving then must not get work because of a cut.
+    The list that this instance read last counts even when it is old: an
+    endpoint that was leaving then must not get work during a partition.
     """
-    said = members.listed_leaving.union(
+    reported = members.listed_leaving.union(
         *(member.leaving for member in members.live(now)),
     )
     for name, endpoint in table.all().items():
-        endpoint.listed_leaving = name in said
+        endpoint.listed_leaving = name in reported
--- a/src/kelproad/coordination/loading.py
+++ b/src/kelproad/coordination/loading.py
@@ -1,4 +1,4 @@
-"""Loading: snapshots from the platform's record, each file verified."""
+"""Loading of snapshots from the platform's store; verifies each file."""
 
 import asyncio
 
@@ -21,10 +21,10 @@
 
 __all__ = ['build_file', 'read_all', 'read_changes']
 
-#: Objects that are fetched at the same time.
-_FETCHES = 8
-#: Texts above this many characters are parsed beside the event loop.
-_LARGE_TEXT = 16_384
+#: Objects that are fetched concurrently.
+_CONCURRENT_FETCHES = 8
+#: Characters above which a text is parsed in a thread, off the event loop.
+_MAX_INLINE_TEXT = 16_384
 
 
 async def read_all(
@@ -33,8 +33,8 @@
     """Read the whole configuration.
 
     The rows of files are not read in one transaction.  The head is read
-    first, so that every change up to its revision is in the rows, and the
-    history after it is then laid over them.
+    first, so that the rows include every change up to its revision; the
+    history after it is then applied on top.
     """
     head = await read_head(platform)
     if isinstance(head, Failure):
@@ -55,10 +55,10 @@
     platform: PlatformClient,
     base: Snapshot,
 ) -> Result[Snapshot, StoreError]:
-    """Read the changes after a snapshot and lay them over it.
+    """Read the changes after a snapshot and apply them on top of it.
 
-    Files of the base that could not be used are tried again, so that an
-    object which was repaired comes into force without another change.
+    Pending files of the base are tried again, so that a repaired object comes
+    into force without another change.
     """
     scanned = await list_revisions(platform, base.revision)
     if isinstance(scanned, Failure):
@@ -66,7 +66,7 @@
     rows = scanned.unwrap()
     if not rows and not base.pending:
         return Success(base)
-    waiting = {
+    pending_rows = {
         item.name: FileRow(
             item.name,
             item.generation,
@@ -78,7 +78,7 @@
         )
         for item in base.pending.values()
     }
-    newest = {**waiting, **{row.name: row for row in rows}}
+    newest = {**pending_rows, **{row.name: row for row in rows}}
     offered = await _fetch_files(platform, list(newest.values()))
     revision = rows[-1].revision if rows else base.revision
     return offered.map(lambda files: extend(base, files, revision))
@@ -91,11 +91,11 @@
     digest: str,
     text: str,
 ) -> AppliedFile | PendingFile:
-    """Parse an accepted file again, which was checked when it was accepted.
+    """Parse an accepted file again; it was checked when it was accepted.
 
     It may still be unreadable here: its object was damaged, or a newer version
     of this program accepted it.  Then only this file keeps its earlier
-    version; the others must not wait for it.
+    version; the others come into force without it.
     """
     content: FileContent | None = None
     if digest:
@@ -111,10 +111,10 @@
 
 
 async def _parse(text: str, name: str) -> Result[FileContent, list[Problem]]:
-    if len(text) <= _LARGE_TEXT:
+    if len(text) <= _MAX_INLINE_TEXT:
         return parse_file(text, name, {}, alone=True)
-    # A file with thousands of workspaces takes part of a second to parse,
-    # which streams being relayed would show as a pause between tokens.
+    # A file with thousands of workspaces takes a fraction of a second
+    # to parse, which would stall the streams being relayed.
     return await asyncio.to_thread(parse_file, text, name, {}, alone=True)
 
 
@@ -123,11 +123,11 @@
     rows: list[FileRow],
 ) -> Result[list[AppliedFile | PendingFile], StoreError]:
     built: list[AppliedFile | PendingFile] = []
-    for start in range(0, len(rows), _FETCHES):
+    for start in range(0, len(rows), _CONCURRENT_FETCHES):
         outcomes = await asyncio.gather(
             *(
                 _fetch_file(platform, row)
-                for row in rows[start : start + _FETCHES]
+                for row in rows[start : start + _CONCURRENT_FETCHES]
             ),
         )
         for outcome in outcomes:
--- a/src/kelproad/coordination/reclamation.py
+++ b/src/kelproad/coordination/reclamation.py
@@ -1,9 +1,9 @@
-"""Giving back what engines hold for requests that have ended.
+"""Release of the items that engines hold for requests that have ended.
 
 Whatever an attempt makes an engine hold is recorded here before the dispatch.
-The record goes when the engine has finished the stream, has refused it, has
-confirmed its release, or can no longer be asked in reasonable time; the
-engine's watchers then find the rest (`orphans.py`).
+The record is removed when the engine has finished the stream, has refused it
+or has confirmed its release, or when it did not confirm in reasonable time;
+the engine's watchers then release the item (`orphans.py`).
 """
 
 import asyncio
@@ -18,10 +18,12 @@
 
 __all__ = ['Canceller']
 
+#: Seconds for one cancel call to an engine.
 _CANCEL_TIMEOUT = 2.0
+#: Seconds between two rounds of cancels at one engine.
 _RETRY_PERIOD = 0.5
-#: Seconds beyond an attempt's deadline after which its engine is no longer
-#: asked: its watchers list what it holds, and release what is past deadline.
+#: Seconds past an attempt's deadline after which its cancel is not repeated:
+#: the engine's watchers release all items that are past their deadline.
 _GIVE_UP_AFTER = 30.0
 
 
@@ -35,75 +37,75 @@
     """Cancels abandoned attempts until their engines confirm it.
 
     A cancel may be lost, or overtake the dispatch it cancels.  Repeating it
-    until it is confirmed covers the first, and the engine's memory of
-    cancelled attempts the second.  Each engine has a task of its own while
-    something is to be cancelled there, so that a frozen one holds up no other.
+    until it is confirmed covers the first case; the second is covered by the
+    engine, which remembers cancelled attempts.  Each engine has its own task
+    while cancels are open there, so that a frozen engine delays no other.
     """
 
     abstract = False
 
     def __init__(self, engines: EngineClient, counters: Counters) -> None:
-        """Cancel through a client of engines."""
+        """Start without holdings; tasks start with the first cancel."""
         super().__init__()
         self._engines = engines
         self._counters = counters
-        self._open: dict[str, _Cancellation] = {}
+        self._unconfirmed: dict[str, _Cancellation] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self.holdings = HoldingTable()
 
     def hold(self, holding: Holding) -> None:
-        """Record what an engine is about to be made to hold."""
+        """Record a holding; call it before the dispatch that creates it."""
         self.holdings.add(holding)
 
     def drop(self, item_id: str) -> None:
-        """Forget what the engine has finished or never took."""
-        self._open.pop(item_id, None)
+        """Forget a holding that the engine finished or never accepted."""
+        self._unconfirmed.pop(item_id, None)
         self.holdings.remove(item_id)
 
     def cancel(self, item_id: str, reason: str) -> None:
-        """Start releasing a recorded holding; returns at once."""
+        """Start to release a recorded holding, and return at once."""
         holding = self.holdings.get(item_id)
         if holding is None:
             return
-        self._open[item_id] = _Cancellation(holding, reason)
+        self._unconfirmed[item_id] = _Cancellation(holding, reason)
         if holding.url not in self._tasks:
             self._tasks[holding.url] = asyncio.create_task(
                 self._cancel_at(holding.url),
             )
 
     def describe(self) -> list[dict[str, object]]:
-        """List what is still to be confirmed, for the dump."""
-        return [attrs.asdict(item) for item in self._open.values()]
+        """List the unconfirmed cancels, for the dump."""
+        return [attrs.asdict(item) for item in self._unconfirmed.values()]
 
     async def finish(self, timeout: float) -> None:
-        """Wait until everything is confirmed, at most ``timeout`` seconds."""
+        """Wait until all cancels are confirmed, at most ``timeout`` seconds."""
         try:
             async with asyncio.timeout(timeout):
-                while self._open:
+                while self._unconfirmed:
                     await asyncio.sleep(_RETRY_PERIOD / 10)
         except asyncio.TimeoutError:
-            self.log.warning('%d cancels unconfirmed', len(self._open))
+            self.log.warning('%d cancels unconfirmed', len(self._unconfirmed))
 
     async def on_stop(self) -> None:
-        """Stop cancelling."""
+        """Abandon all unconfirmed cancels."""
         for task in self._tasks.values():
             task.cancel()
 
     async def _cancel_at(self, url: str) -> None:
-        """Cancel at one engine until nothing is left to cancel there."""
+        """Send the open cancels of one engine until there are none left."""
         try:
-            while self._list_open(url):
-                for cancellation in self._list_open(url):
+            while self._list_unconfirmed(url):
+                for cancellation in self._list_unconfirmed(url):
                     await self._try_cancel(cancellation)
-                if self._list_open(url):
+                if self._list_unconfirmed(url):
                     await asyncio.sleep(_RETRY_PERIOD)
         finally:
             self._tasks.pop(url, None)
 
-    def _list_open(self, url: str) -> list[_Cancellation]:
+    def _list_unconfirmed(self, url: str) -> list[_Cancellation]:
         return [
             cancellation
-            for cancellation in self._open.values()
+            for cancellation in self._unconfirmed.values()
             if cancellation.holding.url == url
         ]
 
--- a/src/kelproad/coordination/watch.py
+++ b/src/kelproad/coordination/watch.py
@@ -1,9 +1,9 @@
-"""Watching endpoints: which instance asks which engine for its load.
+"""Engine watching: which instance polls the load of which engine.
 
 Every engine has two watchers in its zone, chosen by rendezvous hash among the
-live instances.  The first reads it in every period.  The second reads it only
-when no report has come for a while, so that no engine goes unread while a
-watcher that died is still counted as live.
+live instances.  The first polls it in every period.  The second polls it only
+when no report has arrived for a while, so that an engine is still polled while
+a watcher that died counts as live.
 """
 
 import asyncio
@@ -24,19 +24,21 @@
 
 __all__ = ['Watch', 'list_wanted', 'list_watched']
 
-#: Instances that read the same engine.
+#: Instances that watch the same engine.
 WATCHERS = 2
+#: Seconds between two polls of an engine.
 _PERIOD = 0.5
-#: Age of the newest report above which the second watcher reads as well.
+#: Seconds of age of the newest report above which the second watcher polls too.
 _STALE_AFTER = 1.5
+#: Seconds for one poll.
 _TIMEOUT = 1.0
-#: Choices remembered; hashing them anew in each period took a tenth of a core
-#: with 575 engines and 51 instances in a zone.
-_CHOICES_KEPT = 4096
+#: Cached choices; without a cache, hashing in each period took a tenth of a
+#: core with 575 engines and 51 instances in a zone.
+_CACHED_CHOICES = 4096
 
 
 class Watch(BackgroundService):
-    """Reads the load of the engines that this instance watches."""
+    """Polls the load of the engines that this instance watches."""
 
     abstract = False
 
@@ -47,7 +49,7 @@
         members: MemberTable,
         engines: EngineClient,
     ) -> None:
-        """Watch endpoints of a table, sharing them with the members."""
+        """Share the engines of a table among the live members of the zone."""
         super().__init__()
         self._identity = identity
         self._table = table
@@ -57,24 +59,24 @@
     @Service.task
     async def _read_periodically(self) -> None:
         while not self.should_stop:
-            wanted = list_wanted(
+            due = list_wanted(
                 self._identity,
                 self._table,
                 self._members,
                 monotonic(),
             )
-            await asyncio.gather(*map(self._read, wanted))
+            await asyncio.gather(*map(self._read, due))
             await self.sleep(_PERIOD)
 
     async def _read(self, endpoint: Endpoint) -> None:
-        asked_at = monotonic()
+        sent_at = monotonic()
         report = await self._engines.read_load(
             Address.from_text(endpoint.declaration.address).url,
             endpoint.name,
             _TIMEOUT,
         )
         if report is not None:
-            endpoint.accept_report(report, asked_at, here=True)
+            endpoint.accept_report(report, sent_at, here=True)
 
 
 def list_watched(
@@ -94,7 +96,7 @@
     members: MemberTable,
     now: float,
 ) -> list[Endpoint]:
-    """List the engines that this instance is to read now."""
+    """List the engines that this instance must poll now."""
     return [
         endpoint
         for endpoint, rank in _rank_watched(identity, table, members, now)
@@ -108,10 +110,10 @@
     members: MemberTable,
     now: float,
 ) -> Iterator[tuple[Endpoint, int]]:
-    """Yield watched engines with this instance's place among the watchers."""
+    """Yield watched engines with this instance's rank, 0 for the first."""
     names = _list_watchers(identity, members, now)
     for endpoint in table.all().values():
-        if not _is_near_engine(endpoint, identity.zone):
+        if not _is_local_engine(endpoint, identity.zone):
             continue
         watchers = _choose_watchers(endpoint.name, names)
         if identity.instance in watchers:
@@ -131,11 +133,11 @@
     return frozenset(others | {identity.instance})
 
 
-def _is_near_engine(endpoint: Endpoint, zone: str) -> bool:
+def _is_local_engine(endpoint: Endpoint, zone: str) -> bool:
     is_engine = endpoint.group.kind is EndpointKind.ENGINE
     return is_engine and endpoint.declaration.zone == zone
 
 
-@functools.lru_cache(maxsize=_CHOICES_KEPT)
+@functools.lru_cache(maxsize=_CACHED_CHOICES)
 def _choose_watchers(endpoint: str, names: frozenset[str]) -> list[str]:
     return choose_owners(endpoint, names, WATCHERS)
