--- a/src/kelproad/coordination/claimrows.py
+++ b/src/kelproad/coordination/claimrows.py
@@ -1,4 +1,4 @@
-"""Rows of claims in the platform's table: writing, reading, comparing."""
+"""Rows of claims in the platform's table: encoding, reading, comparing."""
 
 import attrs
 import msgspec
@@ -16,14 +16,17 @@
 
 @attrs.define
 class Trial:
-    """The tries to write one claim.
+    """A claim that is being written, in one try or several.
 
     Attributes
     ----------
+    mine
+        The record to write.
     expect
         Version of the row that the next try replaces.
     unsure
-        A try was not answered, so that the row may stand or come yet.
+        Whether a try was not answered, so that the row may exist or may still
+        be written.
     error
         Why the last try failed.
     """
@@ -40,7 +43,7 @@
 
 
 def build_write(key: str, record: ClaimRecord, expect: int) -> Write:
-    """Build the write of a record over the version that is expected."""
+    """Build the write of a record that replaces the expected version."""
     encoded = msgspec.json.encode(record).decode()
     return Write(_TABLE, key, encoded, expect)
 
@@ -57,14 +60,14 @@
 
 
 def decode_row(row: Row) -> ClaimRecord:
-    """Decode the claim that stands in a row."""
+    """Decode the claim in a row."""
     return msgspec.json.decode(row.body, type=ClaimRecord)
 
 
 def is_open_row(row: Row, mine: ClaimRecord) -> bool:
-    """Tell whether a row is the open claim of a writer."""
-    standing = decode_row(row)
-    return standing.token == mine.token and standing.state is ClaimState.OPEN
+    """Return whether a row is the still open claim of a writer."""
+    current = decode_row(row)
+    return current.token == mine.token and current.state is ClaimState.OPEN
 
 
 def _require(row: Row | None, row_key: str) -> Result[Row, StoreError]:
@@ -75,6 +78,6 @@
             StoreErrorKind.UNAVAILABLE,
             'read_row',
             '',
-            f'the row of {row_key!r} vanished',
+            f'the row of {row_key!r} does not exist any more',
         ),
     )
--- a/src/kelproad/coordination/claims.py
+++ b/src/kelproad/coordination/claims.py
@@ -1,9 +1,9 @@
 """At most once: a key is claimed in the platform's table before dispatch.
 
-A claim never expires: a paused owner could still dispatch, so no time that
-passes makes it safe to let another process run the work.  Nor is a row ever
-removed.  Its version only grows, so a write that was given up and arrives
-late finds another version than it expects and changes nothing.
+A claim never expires: a paused owner could still dispatch, so no elapsed time
+makes it safe to let another process run the work.  Rows are never removed
+either.  The version of a row only grows, so a write that was given up and
+arrives late finds another version than it expects and changes nothing.
 """
 
 import asyncio
@@ -33,16 +33,17 @@
 
 __all__ = ['Claim', 'Claims', 'digest_request']
 
-#: Seconds that claiming may take, if the request's deadline allows them.
+#: Seconds that claiming may take, if the request's deadline allows as many.
 CLAIM_LIMIT = 2.0
-#: Seconds that an answer waits for its record, at the most.
+#: Maximum seconds that an answer waits for its record.
 RECORD_WAIT = 0.25
+#: Writes tried for one claim.
 _MAX_TRIES = 4
 _DIGEST_BYTES = 16
 
 
 def digest_request(method: str, path: str, body: bytes) -> str:
-    """Digest what makes two requests under one key the same."""
+    """Digest the parts in which two requests under one key must agree."""
     digest = hashlib.blake2b(
         f'{method} {path}\n'.encode('utf-8', 'surrogateescape'),
         digest_size=_DIGEST_BYTES,
@@ -60,7 +61,7 @@
         platform: PlatformClient,
         counters: Counters,
     ) -> None:
-        """Keep claims in the platform's table."""
+        """Store claims in the platform's table."""
         self._identity = identity
         self._platform = platform
         self._counters = counters
@@ -74,12 +75,12 @@
         request_digest: str,
         deadline: float,
     ) -> Acquired:
-        """Claim a key, or find out what became of it.
+        """Claim a key, or return the outcome of an earlier claim.
 
         Parameters
         ----------
         workspace, key
-            Together they name the row.
+            Together the key of the row.
         request_digest
             Digest of the request that uses the key.
         deadline
@@ -99,8 +100,8 @@
             answer_due=time.time() + deadline - monotonic(),
         )
         limit = min(deadline, monotonic() + CLAIM_LIMIT)
-        trial = Trial(f'{workspace}/{key}', mine)
-        outcome = await self._insert(trial, limit)
+        pending = Trial(f'{workspace}/{key}', mine)
+        outcome = await self._insert(pending, limit)
         self._count(outcome)
         return outcome
 
@@ -112,9 +113,9 @@
     ) -> None:
         """Record that the work ran, with its answer.
 
-        Waits a little, so that whoever has the answer usually finds it
-        recorded; a slow store does not keep the caller from its answer, and
-        the writing goes on behind it.
+        Waits briefly, so that a caller that has the answer usually finds it
+        recorded, too.  A slow store does not hold back the answer; the write
+        then continues in the background.
         """
         if answer.body is not None and len(answer.body) > MAX_RECORDED_BYTES:
             answer = attrs.evolve(answer, body=None)
@@ -123,16 +124,16 @@
         await asyncio.wait([settling], timeout=wait)
 
     def record_run(self, claim: Claim) -> None:
-        """Record, later, that the work ran and its answer was not kept."""
-        unkept = RecordedAnswer(status=0, headers=[], body=None)
-        self._settlements.settle(claim, ClaimState.DONE, unkept)
+        """Record in the background that the work ran, without an answer."""
+        no_answer = RecordedAnswer(status=0, headers=[], body=None)
+        self._settlements.settle(claim, ClaimState.DONE, no_answer)
 
     def leave_unknown(self, claim: Claim) -> None:
-        """Record, later, that the work may or may not have run."""
+        """Record in the background that the work may or may not have run."""
         self._settlements.settle(claim, ClaimState.UNKNOWN)
 
     def release(self, claim: Claim) -> None:
-        """Give a key back, later.
+        """Release a key in the background.
 
         Only the holder may do so, and only when it knows that it did not
         dispatch and never will.
@@ -145,60 +146,62 @@
         Returns
         -------
         int
-            Claims left open; later callers hear that those are unknown.
+            Claims left open; later callers get them as unknown.
         """
         return await self._settlements.finish(timeout)
 
     # Claiming
 
-    async def _insert(self, trial: Trial, limit: float) -> Acquired:
+    async def _insert(self, pending: Trial, limit: float) -> Acquired:
         for _ in range(_MAX_TRIES):
-            acquired = await self._try_insert(trial, limit)
+            acquired = await self._try_insert(pending, limit)
             if acquired is not None:
                 return acquired
-        return self._give_up(trial)
+        return self._refuse(pending)
 
     async def _try_insert(
         self,
-        trial: Trial,
+        pending: Trial,
         limit: float,
     ) -> Acquired | None:
-        """Write the claim once; ``None`` asks for another try."""
-        written = await self._writes.write(trial.write(), limit)
+        """Write the claim once; ``None`` means that a retry is needed."""
+        written = await self._writes.write(pending.write(), limit)
         if isinstance(written, Success):
-            return Success(Claim(trial.key, trial.mine, trial.expect + 1))
-        trial.error = written.failure()
-        match trial.error.kind:
+            return Success(Claim(pending.key, pending.mine, pending.expect + 1))
+        pending.error = written.failure()
+        match pending.error.kind:
             case StoreErrorKind.CONFLICT:
-                return await self._look(trial, limit)
+                return await self._resolve_conflict(pending, limit)
             case StoreErrorKind.UNKNOWN:
-                # The row may stand there, or appear later.  Writing the same
-                # row again tells: it conflicts with the first, or makes the
-                # first conflict with it.
-                trial.unsure = True
+                # The row may exist, or appear later.  Writing the same row
+                # again shows which: it conflicts with the first write, or
+                # makes the first write conflict with it.
+                pending.unsure = True
                 return None
-        return self._give_up(trial)
+        return self._refuse(pending)
 
-    async def _look(self, trial: Trial, limit: float) -> Acquired | None:
-        """Find out which row the claim conflicted with."""
-        found = await read_row(self._platform, trial.key, limit)
+    async def _resolve_conflict(
+        self, pending: Trial, limit: float
+    ) -> Acquired | None:
+        """Read the row in conflict; ``None`` if its key is free again."""
+        found = await read_row(self._platform, pending.key, limit)
         if isinstance(found, Failure):
-            trial.error = found.failure()
-            return self._give_up(trial)
+            pending.error = found.failure()
+            return self._refuse(pending)
         row = found.unwrap()
-        standing = decode_row(row)
-        if standing.state is ClaimState.FREE:
-            trial.expect = row.version
+        current = decode_row(row)
+        if current.state is ClaimState.FREE:
+            pending.expect = row.version
             return None
-        return judge(row, standing, trial.mine)
+        return judge(row, current, pending.mine)
 
-    def _give_up(self, trial: Trial) -> Acquired:
-        if trial.unsure:
-            self._settlements.take_back(trial)
+    def _refuse(self, pending: Trial) -> Acquired:
+        if pending.unsure:
+            self._settlements.take_back(pending)
         silent = self._writes.silent_seconds
-        return Failure(refuse_unrecorded(trial.error, silent))
+        return Failure(refuse_unrecorded(pending.error, silent))
 
-    # Telling
+    # Counting
 
     def _count(self, outcome: Acquired) -> None:
         if isinstance(outcome, Failure):
--- a/src/kelproad/coordination/grouping.py
+++ b/src/kelproad/coordination/grouping.py
@@ -1,7 +1,8 @@
-"""Writing rows in groups: one transaction of the platform for many rows.
+"""Group commit: one transaction of the platform for many rows.
 
-A row that comes alone is written at once.  Rows that come while a transaction
-is on its way, or after many have just begun, wait and share the next one.
+A row that arrives alone is written at once.  Rows that arrive while a
+transaction is in flight, or shortly after several have begun, wait and share
+the next one.
 """
 
 import asyncio
@@ -17,16 +18,16 @@
 
 __all__ = ['GroupedWrites']
 
-#: Seconds between the beginnings of two transactions of one process, on the
+#: Minimum seconds between the starts of two transactions of one process, on
 #: average.
 GROUP_PERIOD = 0.02
-#: Transactions that may begin without a pause after a quiet time.
+#: Transactions that may start without a wait after an idle time.
 GROUP_BURST = 4
-#: Most rows of one transaction.
+#: Maximum rows of one transaction.
 MAX_ROWS = 100
 #: Seconds that a transaction may take.
 WRITE_TIMEOUT = 2.0
-#: Seconds without any answer after which the platform is taken to be silent.
+#: Seconds without any answer after which only one transaction is tried.
 SILENT_AFTER = 1.0
 _OPERATION = 'transact'
 
@@ -35,19 +36,19 @@
 
 @attrs.define(eq=False)
 class _Waiting:
-    """A row that waits to be written, or is on its way."""
+    """A row that waits to be written or is in flight."""
 
     write: Write
-    settled: asyncio.Future[Outcome]
+    outcome: asyncio.Future[Outcome]
     sent: bool = False
 
 
 class GroupedWrites:
     """Conditional writes of single rows, committed in groups.
 
-    The writes of a group succeed or fail each by itself: a conflict on some
-    rows makes the platform refuse the whole transaction, and the others are
-    then sent again without them.
+    The writes of a group succeed or fail individually: when some rows conflict,
+    the platform refuses the whole transaction, and the other rows are sent
+    again without them.
     """
 
     def __init__(self, platform: PlatformClient) -> None:
@@ -75,8 +76,8 @@
             will be, ``UNKNOWN`` when it may have been or may yet be.
         """
         if self.silent_seconds > SILENT_AFTER and self._is_running():
-            # The platform does not answer and one transaction is already
-            # finding out whether it does again.  More of them would make
+            # The platform does not answer, and one transaction is already
+            # checking whether it has recovered.  More of them would only make
             # each caller wait in vain.
             return Failure(_fail_unsent('the platform does not answer'))
         waiting = _Waiting(write, asyncio.get_running_loop().create_future())
@@ -88,14 +89,14 @@
     async def _wait(self, waiting: _Waiting, deadline: float) -> Outcome:
         try:
             async with within(deadline):
-                return await waiting.settled
+                return await waiting.outcome
         except asyncio.TimeoutError:
             if waiting.sent:
                 return Failure(_fail_unknown())
-            return Failure(_fail_unsent('no transaction could take the row'))
+            return Failure(_fail_unsent('no transaction could include the row'))
         finally:
-            # Who gave up before the row was sent has said that it is not
-            # written, so it must not be sent afterwards.
+            # A writer that gave up before the row was sent has reported it as
+            # not written, so it must not be sent afterwards.
             if not waiting.sent:
                 self._waiting.remove(waiting)
 
@@ -110,9 +111,9 @@
                 await self._commit(group)
 
     async def _pace(self) -> None:
-        """Wait until the next transaction may begin.
+        """Wait until the next transaction may start.
 
-        At a low rate that is at once, at a high one rows gather meanwhile.
+        At a low rate that is at once; at a high one rows accumulate meanwhile.
         """
         now = monotonic()
         due = max(self._due, now - GROUP_BURST * GROUP_PERIOD)
@@ -120,7 +121,7 @@
         await asyncio.sleep(due - now)
 
     async def _commit(self, group: list[_Waiting]) -> None:
-        """Write a group; without the rows in conflict where there are some."""
+        """Write a group; after conflicts, again without the rows in conflict."""
         while group:
             if self._silent_since is None:
                 self._silent_since = monotonic()
@@ -128,11 +129,11 @@
                 [waiting.write for waiting in group],
                 WRITE_TIMEOUT,
             )
-            if not _is_unanswered(answered):
+            if not _has_no_answer(answered):
                 self._silent_since = None
             refused = _list_conflicts(answered)
-            # A platform that names no row of the group in conflict refuses
-            # them all; each writer then reads its own row.
+            # If the platform names no row of the group as conflicting, all are
+            # refused; each writer then reads its own row.
             decided = [
                 waiting for waiting in group if waiting.write.key in refused
             ] or group
@@ -141,7 +142,7 @@
 
 
 def _take_group(waiting: list[_Waiting]) -> list[_Waiting]:
-    """Take rows for one transaction out of those that wait, in order.
+    """Remove the rows for one transaction from those that wait, in order.
 
     The platform checks the conditions of a transaction before it writes any
     row.  Two claims on one key would both find it absent, both succeed and
@@ -160,7 +161,7 @@
     return list(group.values())
 
 
-def _is_unanswered(answered: Outcome) -> bool:
+def _has_no_answer(answered: Outcome) -> bool:
     return (
         isinstance(answered, Failure)
         and answered.failure().kind is StoreErrorKind.UNKNOWN
@@ -175,8 +176,8 @@
 
 def _settle(decided: Iterable[_Waiting], answered: Outcome) -> None:
     for waiting in decided:
-        if not waiting.settled.done():
-            waiting.settled.set_result(answered)
+        if not waiting.outcome.done():
+            waiting.outcome.set_result(answered)
 
 
 def _fail_unsent(message: str) -> StoreError:
--- a/src/kelproad/coordination/settlements.py
+++ b/src/kelproad/coordination/settlements.py
@@ -1,8 +1,8 @@
-"""Writing what became of claims, for as long as that takes.
+"""Background writes of the outcomes of claims.
 
-Nobody waits for these writes.  They go on until the platform has them, or the
-process ends; what is not written by then stays open, and later callers hear
-that it is unknown.
+They are retried until the platform has them or the process exits.  A claim
+whose outcome is not written by then stays open, and later callers are told
+that its outcome is unknown.
 """
 
 import asyncio
@@ -24,12 +24,13 @@
 
 __all__ = ['Settlements']
 
-_SHORTEST_RETRY = 0.1
-_LONGEST_RETRY = 2.0
+#: Bounds of the seconds between two tries; they double from one to the next.
+_MIN_RETRY_PAUSE = 0.1
+_MAX_RETRY_PAUSE = 2.0
 
 
 class Settlements:
-    """Outcomes of this process's claims that are still to be written."""
+    """Outcomes of this process's claims that are being written."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         writes: GroupedWrites,
         counters: Counters,
     ) -> None:
-        """Write with the other writes of the process, in groups."""
+        """Write in groups that are shared with the process's new claims."""
         self._platform = platform
         self._writes = writes
         self._counters = counters
@@ -49,7 +50,7 @@
         state: ClaimState,
         answer: RecordedAnswer | None = None,
     ) -> asyncio.Task[None]:
-        """Begin to write the outcome of a claim."""
+        """Start to write the outcome of a claim; allowed once per claim."""
         invariants.check(not claim.settled, 'claim-settled-once', claim.key)
         record = attrs.evolve(
             claim.record,
@@ -61,9 +62,9 @@
         claim.settled = True
         return self._start(self._overwrite(write, state))
 
-    def take_back(self, trial: Trial) -> None:
-        """Begin to free the key of a claim that was given up."""
-        self._start(self._take_back(trial))
+    def take_back(self, pending: Trial) -> None:
+        """Start to release the key of a claim that was given up."""
+        self._start(self._release_abandoned(pending))
 
     async def finish(self, timeout: float) -> int:
         """Wait until all outcomes are written, at most some seconds.
@@ -71,7 +72,7 @@
         Returns
         -------
         int
-            Claims left open; later callers hear that those are unknown.
+            Claims left open; later callers get them as unknown.
         """
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=timeout)
@@ -98,7 +99,7 @@
         """Write an outcome until the platform has it.
 
         The caller has its answer already.  Giving up would leave the key in
-        progress for ever although the outcome is known here.  Only the holder
+        progress forever although the outcome is known here.  Only the holder
         writes to an open row, so a conflict means that an earlier try, whose
         answer was lost, took effect.
         """
@@ -120,22 +121,22 @@
         )
         self._counters.claims.inc({'outcome': f'settled_{state}'})
 
-    async def _take_back(self, trial: Trial) -> None:
-        """Free a key after a claim that was given up.
+    async def _release_abandoned(self, pending: Trial) -> None:
+        """Release a key after its claim was given up.
 
-        Its caller has heard that nothing was run, and this process will not
-        dispatch.  The row may stand, or arrive later, and would then leave
-        the key in progress for ever.  A free row at the version that the
-        claim expected makes a late arrival conflict.
+        The caller was told that nothing ran, and this process will not
+        dispatch.  The row may exist, or arrive later, and would then leave the
+        key in progress forever.  A free row at the version that the claim
+        expected makes a late arrival conflict.
         """
         free = attrs.evolve(
-            trial.mine,
+            pending.mine,
             state=ClaimState.FREE,
             settled_at=time.time(),
         )
 
         async def try_once() -> bool:
-            write = build_write(trial.key, free, trial.expect)
+            write = build_write(pending.key, free, pending.expect)
             written = await self._writes.write(write, _background_limit())
             if isinstance(written, Success):
                 return True
@@ -143,27 +144,27 @@
                 return False
             found = await read_row(
                 self._platform,
-                trial.key,
+                pending.key,
                 _background_limit(),
             )
             row = found.value_or(None)
             if row is None:
                 return False
-            trial.expect = row.version
-            return not is_open_row(row, trial.mine)
+            pending.expect = row.version
+            return not is_open_row(row, pending.mine)
 
         await _repeat(try_once)
         self._counters.claims.inc({'outcome': 'taken_back'})
 
 
 async def _repeat(try_once: Callable[[], Awaitable[bool]]) -> None:
-    """Try, with growing pauses, until it is done."""
-    pause = _SHORTEST_RETRY
+    """Call ``try_once`` with growing pauses until it returns true."""
+    pause = _MIN_RETRY_PAUSE
     while not await try_once():
         await asyncio.sleep(pause)
-        pause = min(2 * pause, _LONGEST_RETRY)
+        pause = min(2 * pause, _MAX_RETRY_PAUSE)
 
 
 def _background_limit() -> float:
-    """Return when a write that nobody waits for is given up and repeated."""
+    """Return the deadline of one try of a background write."""
     return monotonic() + 2 * WRITE_TIMEOUT
--- a/src/kelproad/coordination/verdicts.py
+++ b/src/kelproad/coordination/verdicts.py
@@ -1,7 +1,7 @@
-"""What the row that stands under a key means for a caller.
+"""What the current row of a key means for a caller.
 
-Every answer given here stays true: while anybody might still run the work,
-the caller hears that it is unknown, however long ago the claim was made.
+Every answer given here remains true: while any process might still run the
+work, the caller is told that its outcome is unknown, however old the claim is.
 """
 
 import time
@@ -15,15 +15,17 @@
 
 __all__ = ['Acquired', 'Claim', 'judge', 'refuse_unrecorded']
 
-#: Largest answer that is kept in the row, in bytes.
+#: Bytes of the largest answer body that is kept in the row.
 MAX_RECORDED_BYTES = 65_536
 #: Seconds for which a recorded answer is repeated; the row itself stays.
 ANSWER_KEPT = 86_400.0
-#: Seconds after the owner's deadline in which it may still be settling.
+#: Seconds past the owner's deadline in which it may still be settling.
 _SETTLE_MARGIN = 1.0
-_SOONEST_ASK = 0.5
-_LATEST_ASK = 3600.0
-_LONGEST_OUTAGE_ASK = 30.0
+#: Bounds of the seconds after which callers are asked to retry; the last one
+#: is the upper bound while the platform does not answer.
+_MIN_RETRY_AFTER = 0.5
+_MAX_RETRY_AFTER = 3600.0
+_MAX_OUTAGE_RETRY_AFTER = 30.0
 
 
 @attrs.define
@@ -33,7 +35,8 @@
     Attributes
     ----------
     settled
-        Its outcome is decided, so nothing more may be dispatched under it.
+        Whether its outcome is decided; then nothing more may be dispatched
+        under it.
     """
 
     key: str
@@ -42,78 +45,81 @@
     settled: bool = False
 
 
-#: A claim that permits one dispatch, a finished one's answer, or a refusal.
+#: A claim that permits one dispatch, the answer of a done one, or a refusal.
 Acquired = Result[Claim | RecordedAnswer, Refusal]
 
 
-def judge(row: Row, standing: ClaimRecord, mine: ClaimRecord) -> Acquired:
-    """Decide what the row that stands under a key means for a request."""
-    if standing.token == mine.token:
+def judge(row: Row, current: ClaimRecord, mine: ClaimRecord) -> Acquired:
+    """Decide what the current row of a key means for a request."""
+    if current.token == mine.token:
         return Success(Claim(row.key, mine, row.version))
-    if standing.request_digest != mine.request_digest:
+    if current.request_digest != mine.request_digest:
         return Failure(
             Refusal(
                 RefusalCode.KEY_REUSED,
                 'the idempotency key belongs to another request',
                 Step.CLAIM,
-                peer=standing.owner,
+                peer=current.owner,
             ),
         )
-    if standing.state is ClaimState.DONE:
-        return _repeat_answer(standing)
-    return Failure(_refuse_unresolved(standing, time.time()))
+    if current.state is ClaimState.DONE:
+        return _repeat_answer(current)
+    return Failure(_refuse_unresolved(current, time.time()))
 
 
-def _repeat_answer(standing: ClaimRecord) -> Acquired:
-    age = time.time() - standing.settled_at
-    if standing.answer.body is None:
+def _repeat_answer(current: ClaimRecord) -> Acquired:
+    age = time.time() - current.settled_at
+    if current.answer.body is None:
         message = f'its answer exceeds the {MAX_RECORDED_BYTES} bytes kept'
     elif age > ANSWER_KEPT:
         message = f'its answer was kept for {ANSWER_KEPT:.0f} s only'
     else:
-        return Success(standing.answer)
+        return Success(current.answer)
     return Failure(
         Refusal(
             RefusalCode.CONFLICT,
             f'the work under this key ran; {message}',
             Step.CLAIM,
-            peer=standing.owner,
+            peer=current.owner,
             ran=Ran.YES,
         ),
     )
 
 
-def _refuse_unresolved(standing: ClaimRecord, now: float) -> Refusal:
-    """Tell what is known of a claim that somebody else holds.
+def _refuse_unresolved(current: ClaimRecord, now: float) -> Refusal:
+    """Refuse because of another request's open or unknown claim.
 
-    While the owner has time left, it may answer by then.  Past that, the
-    longer a claim has been unresolved, the less likely it still is to be.
+    While the owner has time left, the claim may be settled by its deadline.
+    After that, the longer a claim has been unresolved, the less likely it is
+    to be resolved at all, so the retry time grows with its age.
     """
-    remaining = standing.answer_due + _SETTLE_MARGIN - now
-    if standing.state is ClaimState.OPEN and remaining > 0:
+    remaining = current.answer_due + _SETTLE_MARGIN - now
+    if current.state is ClaimState.OPEN and remaining > 0:
         code = RefusalCode.KEY_IN_PROGRESS
-        message = 'the key is in progress elsewhere'
+        message = 'another request with this key is in progress'
     else:
         code = RefusalCode.OUTCOME_UNKNOWN
-        message = 'the work under this key may have run; nobody knows'
+        message = 'it is not known whether the work under this key ran'
     return Refusal(
         code,
         message,
         Step.CLAIM,
-        peer=standing.owner,
+        peer=current.owner,
         ran=Ran.UNKNOWN,
-        retry_after=_clamp(abs(remaining), _SOONEST_ASK, _LATEST_ASK),
+        retry_after=_clamp(abs(remaining), _MIN_RETRY_AFTER, _MAX_RETRY_AFTER),
     )
 
 
 def refuse_unrecorded(error: StoreError, silent_seconds: float) -> Refusal:
-    """Refuse; the longer the platform is silent, the later to ask."""
+    """Refuse; the retry time grows while the platform does not answer."""
     return Refusal(
         RefusalCode.CLAIM_UNRECORDED,
         f'the claim could not be recorded: {error.message}',
         Step.CLAIM,
         peer=error.peer,
-        retry_after=_clamp(silent_seconds, _SOONEST_ASK, _LONGEST_OUTAGE_ASK),
+        retry_after=_clamp(
+            silent_seconds, _MIN_RETRY_AFTER, _MAX_OUTAGE_RETRY_AFTER
+        ),
     )
 
 
