--- a/src/kelproad/coordination/acceptance.py
+++ b/src/kelproad/coordination/acceptance.py
@@ -1,8 +1,8 @@
 """Acceptance: checking operators' files and committing them.
 
 Accepted means committed in the platform's table, in one transaction that is
-conditional on the head.  Whatever the transaction was checked against is
-therefore still what holds when it takes effect.
+conditional on the head.  The configuration that a file was checked against is
+therefore still the newest one when the file takes effect.
 """
 
 import asyncio
@@ -32,16 +32,17 @@
 
 __all__ = ['Accepted', 'ConfigurationWriter', 'Submission']
 
-#: How often a commit is tried again when another file was accepted meanwhile.
-_TRIES = 5
-_LONGEST_APPLY_ID = 128
+#: Commits tried when other files are accepted in between.
+_MAX_TRIES = 5
+#: Characters of the longest apply id.
+_MAX_APPLY_ID_LENGTH = 128
 
 Refused = Refusal | list[Problem] | Raced
 
 
 @attrs.frozen
 class Submission:
-    """A file that an operator wants to be in force, or to be gone.
+    """A file that an operator applies, or the removal of one.
 
     Attributes
     ----------
@@ -50,7 +51,7 @@
     apply_id
         Chosen by the operator's client; the same apply counts once.
     remove
-        Name of the file to remove; ``text`` is not looked at then.
+        Name of the file to remove; ``text`` is ignored then.
     """
 
     text: str
@@ -63,7 +64,7 @@
 
 @attrs.frozen
 class Accepted:
-    """What became of a submission."""
+    """The generation and revision that a submission was given."""
 
     name: str
     generation: int
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class _Base:
-    """What a submission is checked against, and commits on condition of."""
+    """What a submission is checked against; its commit expects the head."""
 
     head: Head
     snapshot: Snapshot
@@ -87,7 +88,7 @@
         follower: ConfigurationFollower,
         platform: PlatformClient,
     ) -> None:
-        """Accept on the base of what the follower has adopted."""
+        """Check files against the snapshots that the follower adopts."""
         self._holder = holder
         self._follower = follower
         self.platform = platform
@@ -104,10 +105,10 @@
         become an invalid configuration.  When another file is accepted in
         between, everything is checked again.
         """
-        if not 0 < len(submission.apply_id) <= _LONGEST_APPLY_ID:
+        if not 0 < len(submission.apply_id) <= _MAX_APPLY_ID_LENGTH:
             return Failure(_refuse_apply_id())
-        for _ in range(_TRIES):
-            outcome = await self._repeat(submission)
+        for _ in range(_MAX_TRIES):
+            outcome = await self._find_earlier(submission)
             if outcome is None:
                 outcome = await self._try(submission, dry_run)
             if outcome is not None:
@@ -126,8 +127,8 @@
         base = read.unwrap()
         if base is None:
             return None
-        # Beside the event loop: with thousands of workspaces it takes tens of
-        # milliseconds, and the snapshot does not change.
+        # Off the event loop: with thousands of workspaces it takes tens of
+        # milliseconds, and the snapshot is immutable.
         named = await asyncio.to_thread(_check, submission, base.snapshot)
         if isinstance(named, Failure):
             return named
@@ -143,14 +144,14 @@
             return Success(accepted)
         return await self._commit(submission, accepted, base.head)
 
-    async def _repeat(
+    async def _find_earlier(
         self,
         submission: Submission,
     ) -> Result[Accepted, Refused] | None:
-        """Answer an apply that was accepted before, as it was then.
+        """Return the first result of an apply that was accepted before.
 
-        The first answer may have been lost, so the operator asks again with
-        the same id.  The row under the id settles it, however much was
+        The first answer may have been lost, so the operator repeats the apply
+        with the same id.  The row under the id decides, however much was
         accepted since.  ``None`` when the id has accepted nothing.
         """
         earlier = await find_apply(self.platform, submission.apply_id)
@@ -207,32 +208,32 @@
             STORE_TIMEOUT,
         )
         if isinstance(written, Failure):
-            return await self._settle(row, written.failure())
+            return await self._read_back(row, written.failure())
         await self._follower.catch_up()
         return Success(accepted)
 
-    async def _settle(
+    async def _read_back(
         self,
         row: FileRow,
         error: StoreError,
     ) -> Result[Accepted, Refused] | None:
         """Find out by reading back whether a commit took effect.
 
-        A conflict means that it did not, unless this very apply had landed
-        before.  After a lost answer the row under the apply id tells that it
-        did; its absence tells nothing, because the write may land yet.
+        A conflict means that it did not, unless the same apply was committed
+        before.  After a lost answer, a row under the apply id shows that it
+        did; a missing row proves nothing, because the write may still land.
         """
         if error.kind is StoreErrorKind.UNAVAILABLE:
             return Failure(_refuse_store(error))
         found = await find_apply(self.platform, row.apply_id)
-        standing = found.value_or(None)
-        if standing is not None:
+        recorded = found.value_or(None)
+        if recorded is not None:
             await self._follower.catch_up()
             return Success(
                 Accepted(
-                    standing.name,
-                    standing.generation,
-                    standing.revision,
+                    recorded.name,
+                    recorded.generation,
+                    recorded.revision,
                 ),
             )
         if error.kind is StoreErrorKind.CONFLICT:
@@ -244,7 +245,7 @@
     submission: Submission,
     snapshot: Snapshot,
 ) -> Result[str, Refused]:
-    """Check a submission against all other files; its name, or problems."""
+    """Check a submission against all other files; return its file name."""
     others = snapshot.contents()
     texts = {item.name: item.text for item in snapshot.files.values()}
     if submission.remove:
@@ -262,14 +263,14 @@
 
 
 def _check_pending(name: str, snapshot: Snapshot) -> Result[str, Refusal]:
-    """Refuse to check against files that are not what was accepted.
+    """Refuse to check against files whose accepted version is unreadable.
 
-    Applying the pending file itself is how an operator repairs it.
+    Applying the pending file itself is allowed: it is how it is repaired.
     """
-    waiting = snapshot.pending
-    if not waiting or name in waiting:
+    pending = snapshot.pending
+    if not pending or name in pending:
         return Success(name)
-    item = next(iter(waiting.values()))
+    item = next(iter(pending.values()))
     return Failure(
         Refusal(
             RefusalCode.CONFLICT,
@@ -293,7 +294,7 @@
 def _refuse_apply_id() -> Refusal:
     return Refusal(
         RefusalCode.BAD_REQUEST,
-        f'an apply id has 1 to {_LONGEST_APPLY_ID} characters',
+        f'an apply id has 1 to {_MAX_APPLY_ID_LENGTH} characters',
         Step.RECEIVE,
     )
 
@@ -301,7 +302,7 @@
 def _refuse_busy() -> Refusal:
     return Refusal(
         RefusalCode.CONFLICT,
-        f'nothing was applied: other files were accepted {_TRIES} times '
+        f'nothing was applied: other files were accepted {_MAX_TRIES} times '
         'meanwhile; apply again',
         Step.CONFIGURE,
         retry_after=1,
--- a/src/kelproad/coordination/configuration.py
+++ b/src/kelproad/coordination/configuration.py
@@ -1,8 +1,8 @@
-"""Configuration: putting in force what was accepted.
+"""Configuration: putting accepted revisions in force.
 
 Two instances of each availability zone read the platform's history; the
-others hear of a revision by gossip and take the changes from a peer.  Whoever
-hears from nobody asks the platform itself, seldom.
+others learn of a revision by gossip and request the changes from a peer.  An
+instance whose revision no peer confirms queries the platform at a low rate.
 """
 
 import math
@@ -41,17 +41,19 @@
 
 #: Instances of a zone that read the platform's history.
 READERS = 2
+#: Seconds between two checks whether a read of the platform is due.
 _POLL_PERIOD = 1.0
-#: Seconds without confirmation after which any instance asks the platform.
+#: Seconds without confirmation after which any instance queries the platform.
 _UNCONFIRMED_AFTER = 5.0
-#: Seconds between two such questions, spread by up to as much again, so that
-#: a platform that comes back is not met by all instances at once.
+#: Seconds between two such queries, with a random addition of up to as much,
+#: so that a platform that recovers is not queried by all instances at once.
 _FALLBACK_PERIOD = 5.0
-_ASK_PERIOD = 0.3
-#: Seconds without progress after which a transfer is begun anew.
-_TRANSFER_LIMIT = 2.0
+#: Minimum seconds between two requests for changes to peers.
+_REQUEST_PERIOD = 0.3
+#: Seconds without progress after which a transfer is restarted.
+_TRANSFER_TIMEOUT = 2.0
 #: Characters of text after which a message of changes is full.
-_MESSAGE_TEXT = 262_144
+_MAX_MESSAGE_TEXT = 262_144
 
 
 @attrs.define
@@ -59,8 +61,9 @@
     """Changes that arrive in several messages.
 
     Messages are in order of revision, and every sender must know at least the
-    revision of the one before.  A file that changes during the transfer then
-    comes again at its newer revision, so the union of all messages is whole.
+    revision of the previous message.  A file that changes during the transfer
+    is then sent again at its newer revision, so the union of all messages is
+    complete.
     """
 
     base: Snapshot
@@ -84,7 +87,7 @@
         platform: PlatformClient,
         counters: Counters,
     ) -> None:
-        """Adopt into a holder and keep the endpoint table in step."""
+        """Adopt snapshots into a holder and update the endpoint table."""
         super().__init__()
         self._settings = settings
         self._holder = holder
@@ -93,19 +96,20 @@
         self._platform = platform
         self._counters = counters
         self._transfer: _Transfer | None = None
-        self._asked_at = float('-inf')
+        self._requested_at = float('-inf')
         self._next_fallback = float('-inf')
+        #: Monotonic time of the last confirmation by the store or a peer.
         self.confirmed_at = float('-inf')
-        #: When the last reading of the store that succeeded here began.
+        #: Monotonic time at which the last successful read of the store began.
         self.read_at = float('-inf')
-        #: Why the last reading of the store failed, empty when it succeeded.
+        #: Why the last read of the store failed, empty when it succeeded.
         self.fault = ''
         #: Sends a message to a peer; set by membership, which owns the links.
         self.ask_peer: Callable[[str, PeerMessage], None] | None = None
 
     @property
     def age(self) -> float:
-        """Seconds since the store or a peer confirmed what is in force."""
+        """Seconds since the store or a peer confirmed the revision in force."""
         return monotonic() - self.confirmed_at
 
     @property
@@ -114,47 +118,47 @@
         return self.age if math.isfinite(self.age) else None
 
     async def catch_up(self) -> Result[None, StoreError]:
-        """Adopt whatever the store has accepted since the last time."""
-        asked_at = monotonic()
+        """Adopt all changes that were accepted since the revision in force."""
+        started_at = monotonic()
         current = self._holder.current
         if current.revision == 0:
             loaded = await read_all(self._platform)
         else:
             loaded = await read_changes(self._platform, current)
         if isinstance(loaded, Success):
-            self._note_fault('')
+            self._record_fault('')
             self._adopt(loaded.unwrap(), 'store')
-            self.confirmed_at = max(self.confirmed_at, asked_at)
-            self.read_at = max(self.read_at, asked_at)
+            self.confirmed_at = max(self.confirmed_at, started_at)
+            self.read_at = max(self.read_at, started_at)
         else:
             error = loaded.failure()
-            self._note_fault(
+            self._record_fault(
                 f'{error.operation} at {error.peer}: {error.message}',
             )
         return loaded.map(lambda _snapshot: None)
 
     def hear_member(self, member: Member) -> None:
-        """Learn from a member's record what it has in force.
+        """Compare the local revision with the one in a member's record.
 
-        A higher revision is asked for; the same one confirms ours as late as
-        the member's own confirmation.
+        Changes up to a higher revision are requested; the same revision
+        confirms the local one as of the member's own last confirmation.
         """
         current = self._holder.current.revision
         now = monotonic()
         if member.revision == current and member.configuration_age is not None:
             confirmed = now - member.configuration_age
             self.confirmed_at = max(self.confirmed_at, confirmed)
-        is_asking = now - self._asked_at < _ASK_PERIOD
-        if member.revision > current and not is_asking:
-            self._asked_at = now
-            self._ask(member.peer_address, self._choose_after(now))
+        has_requested = now - self._requested_at < _REQUEST_PERIOD
+        if member.revision > current and not has_requested:
+            self._requested_at = now
+            self._request_changes(member.peer_address, self._choose_after(now))
 
     async def take_changes(self, changes: Changes) -> None:
         """Adopt changes that a peer sent.
 
         A late answer may start from a revision that this instance has passed
-        or has not reached; it is used only when it continues what is in
-        force, or the transfer that is under way.
+        or has not reached; it is used only when it continues the revision in
+        force or the transfer in progress.
         """
         transfer = self._continue_transfer(changes)
         if transfer is None:
@@ -179,17 +183,17 @@
             self._adopt(extend(base, offered, changes.revision), 'peer')
         else:
             self._transfer = transfer
-            self._ask(changes.reply_to, transfer.after)
+            self._request_changes(changes.reply_to, transfer.after)
 
     def explain_missing(self) -> str:
-        """Say why nothing is in force here yet."""
+        """Explain why no configuration is in force here yet."""
         live = self._members.live(monotonic())
-        having = [member.name for member in live if member.revision]
-        asked = self.fault or 'nothing was accepted there yet'
-        heard = ', '.join(having) or 'none has one'
+        configured = [member.name for member in live if member.revision]
+        store_state = self.fault or 'nothing was accepted there yet'
+        names = ', '.join(configured) or 'none has one'
         return (
-            f'no configuration yet; the platform: {asked}; '
-            f'peers heard: {len(live)}, with a configuration: {heard}'
+            f'no configuration yet; the platform: {store_state}; '
+            f'peers heard: {len(live)}, with a configuration: {names}'
         )
 
     @Service.task
@@ -210,23 +214,23 @@
         self._next_fallback = now + _FALLBACK_PERIOD * spread
         return True
 
-    def _note_fault(self, fault: str) -> None:
+    def _record_fault(self, fault: str) -> None:
         if fault and not self.fault:
             self.log.warning('the store cannot be read: %s', fault)
         if self.fault and not fault:
-            self.log.info('the store is read again')
+            self.log.info('the store can be read again')
         self.fault = fault
 
     def _choose_after(self, now: float) -> int:
-        """Choose the revision after which to ask a peer for changes."""
+        """Choose the revision after which to request changes from a peer."""
         transfer = self._transfer
-        if transfer and now - transfer.progressed_at > _TRANSFER_LIMIT:
+        if transfer and now - transfer.progressed_at > _TRANSFER_TIMEOUT:
             self._transfer = None
         if self._transfer is None:
             return self._holder.current.revision
         return self._transfer.after
 
-    def _ask(self, peer_address: str, after: int) -> None:
+    def _request_changes(self, peer_address: str, after: int) -> None:
         if self.ask_peer is None:
             return
         wanted = ChangesWanted(
@@ -237,7 +241,7 @@
         self.ask_peer(peer_address, wanted)
 
     def _continue_transfer(self, changes: Changes) -> _Transfer | None:
-        """Find what a message of changes continues, ``None`` if nothing."""
+        """Find or begin the transfer of a message; ``None`` if it is late."""
         current = self._holder.current
         if changes.revision <= current.revision:
             return None
@@ -282,7 +286,7 @@
 
 
 def is_reader(settings: Settings, members: MemberTable, now: float) -> bool:
-    """Tell whether this instance reads the store for its zone."""
+    """Return whether this instance reads the store for its zone."""
     names = {settings.instance} | {
         member.name
         for member in members.live(now)
@@ -295,9 +299,9 @@
     snapshot: Snapshot,
     settings: Settings,
     after: int,
-    limit: int = _MESSAGE_TEXT,
+    limit: int = _MAX_MESSAGE_TEXT,
 ) -> Changes | None:
-    """List the changes after a revision, as many as a message holds.
+    """List the changes after a revision, as many as fit in a message.
 
     Returns
     -------
--- a/src/kelproad/coordination/confirmation.py
+++ b/src/kelproad/coordination/confirmation.py
@@ -1,9 +1,9 @@
-"""Confirming what is in force here before a caller hears a final no.
+"""Confirmation of the configuration in force before a final refusal.
 
 An instance adopts an accepted file up to seconds after the store has it.  Until
-then it would tell a valid key that no workspace has it, which a client takes
-for final.  The store is therefore read before that is said, once for all who
-ask at the same time.
+then it would refuse a valid key as unknown, which a client takes as final.  The
+store is therefore read before such a refusal, once for all callers that wait at
+the same time.
 """
 
 import asyncio
@@ -29,68 +29,68 @@
         RefusalCode.NOT_FOUND,
     ),
 )
-#: Seconds from one reading to the next: wrong keys cost their senders nothing,
-#: and must not become as many readings of the store.
-_READ_GAP = 0.5
-#: Seconds that a call waits for a reading, if its deadline leaves as many.
+#: Minimum seconds between two reads: calls with wrong keys cost their senders
+#: nothing, and must not cause as many reads of the store.
+_READ_INTERVAL = 0.5
+#: Seconds that a call waits for a read, if its deadline leaves as many.
 _WAIT_LIMIT = 2.0
-#: Seconds after which a caller should come back.
+#: Seconds after which a caller should retry.
 _RETRY_AFTER = 1.0
 
 
 class Confirmation:
-    """Makes sure that a final no is that of the newest configuration."""
+    """Ensures that final refusals are based on the newest configuration."""
 
     def __init__(
         self,
         holder: SnapshotHolder,
         follower: ConfigurationFollower,
     ) -> None:
-        """Read the store by the follower, which adopts what it reads."""
+        """Read the store through the follower, which adopts what it reads."""
         self._holder = holder
         self._follower = follower
-        self._reading: asyncio.Task[bool] | None = None
-        self._next_at = float('-inf')
+        self._read_task: asyncio.Task[bool] | None = None
+        self._next_read_at = float('-inf')
 
     async def ask(
         self,
-        question: Callable[[Snapshot], Result[T, Refusal]],
+        lookup: Callable[[Snapshot], Result[T, Refusal]],
         snapshot: Snapshot,
         arrived: float,
         deadline: float,
     ) -> Result[T, Refusal]:
-        """Ask a snapshot, and before a final no what the store has by now.
+        """Look up in a snapshot; repeat a final refusal on the newest one.
 
         Parameters
         ----------
-        question
+        lookup
             Finds something in a snapshot, or refuses.
         snapshot
-            The snapshot to ask first.
+            The snapshot for the first lookup.
         arrived
-            Monotonic time, in seconds, at which the call came.  A reading that
-            began later has all that was accepted before.
+            Monotonic time, in seconds, at which the call arrived.  A read that
+            began later includes everything that was accepted before.
         deadline
             Monotonic time, in seconds, of the caller's deadline.
 
         Returns
         -------
         Result
-            What was found, or the question's own refusal; ``NOT_READY`` in
-            place of a final one that could not be confirmed.
+            The result of the lookup or its own refusal; ``NOT_READY`` in place
+            of a final refusal that could not be confirmed.
         """
-        answer = question(snapshot)
+        answer = lookup(snapshot)
         if not _is_final(answer):
             return answer
         confirmed = await self._confirm(arrived, deadline)
-        answer = question(self._holder.current)
+        answer = lookup(self._holder.current)
         is_newest = confirmed and not self._holder.current.pending
         if _is_final(answer) and not is_newest:
             return Failure(_refuse_unconfirmed())
         return answer
 
     async def _confirm(self, since: float, deadline: float) -> bool:
-        """Tell whether the store was read since a moment; read it if not."""
+        """Return whether the store was read since a time; read it if not."""
         try:
             async with within(min(deadline, monotonic() + _WAIT_LIMIT)):
                 return await self._read_since(since)
@@ -104,14 +104,14 @@
         return True
 
     async def _read_shared(self) -> bool:
-        """Wait for the reading under way, or begin one."""
-        if self._reading is None or self._reading.done():
-            self._reading = asyncio.create_task(self._read())
-        return await asyncio.shield(self._reading)
+        """Wait for the read in progress, or start one."""
+        if self._read_task is None or self._read_task.done():
+            self._read_task = asyncio.create_task(self._read())
+        return await asyncio.shield(self._read_task)
 
     async def _read(self) -> bool:
-        await asyncio.sleep(self._next_at - monotonic())
-        self._next_at = monotonic() + _READ_GAP
+        await asyncio.sleep(self._next_read_at - monotonic())
+        self._next_read_at = monotonic() + _READ_INTERVAL
         caught_up = await self._follower.catch_up()
         return not isinstance(caught_up, Failure)
 
@@ -119,7 +119,7 @@
 def _refuse_unconfirmed() -> Refusal:
     return Refusal(
         RefusalCode.NOT_READY,
-        'not known here; whether it was accepted lately could not be found out',
+        'not known here; the store could not be read to confirm this',
         Step.CONFIGURE,
         retry_after=_RETRY_AFTER,
     )
--- a/src/kelproad/coordination/grouping.py
+++ b/src/kelproad/coordination/grouping.py
@@ -121,7 +121,7 @@
         await asyncio.sleep(due - now)
 
     async def _commit(self, group: list[_Waiting]) -> None:
-        """Write a group; after conflicts, again without the rows in conflict."""
+        """Write a group; after conflicts, retry without conflicting rows."""
         while group:
             if self._silent_since is None:
                 self._silent_since = monotonic()
--- a/src/kelproad/coordination/history.py
+++ b/src/kelproad/coordination/history.py
@@ -1,8 +1,8 @@
 """The platform's record of accepted files.
 
 One transaction writes a file's newest row, the same row under its revision,
-under its generation and under its apply id, and the head.  The head's revision
-therefore orders all changes of the site, and an apply id is found by one read.
+its generation and its apply id, and the head.  The head's revision therefore
+orders all changes of the site, and an apply id is found with one read.
 """
 
 import hashlib
@@ -33,26 +33,29 @@
     'store_text',
 ]
 
+#: Seconds for one call to the store.
 STORE_TIMEOUT = 2.0
+#: Holds the head and the newest rows; the other tables hold copies of rows.
 _TABLE = 'configuration'
-_REVISIONS = 'configuration-history'
-_GENERATIONS = 'configuration-generations'
-_APPLIES = 'configuration-applies'
+_REVISION_TABLE = 'configuration-history'
+_GENERATION_TABLE = 'configuration-generations'
+_APPLY_TABLE = 'configuration-applies'
 _HEAD = 'head'
 _FILE_PREFIX = 'file/'
-_PAGE = 200
+#: Rows of one page of a scan.
+_PAGE_ROWS = 200
 
 
 @attrs.frozen
 class FileRow:
-    """One accepted change of a file, as the table holds it.
+    """One accepted change of a file, as stored.
 
     Attributes
     ----------
     digest
         SHA-256 of the text, the key of its object; empty when removed.
     apply_id
-        Chosen by the operator's client, so that it recognises its own apply.
+        Chosen by the operator's client, to identify its own apply.
     """
 
     name: str
@@ -81,11 +84,11 @@
 
 
 def list_writes(row: FileRow, head: Head) -> list[Write]:
-    """List the writes that accept a change on top of a head.
+    """List the writes of the transaction that commits a change.
 
-    The condition on the head makes a write that lands late fail once anything
-    else was accepted; the condition on the apply id makes the same apply
-    count once.
+    The condition on the head makes a late write fail once another change was
+    committed; the condition on the apply id makes a repeated apply take effect
+    only once.
     """
     body = msgspec.json.encode(row).decode()
     head_body = msgspec.json.encode(_HeadBody(row.revision)).decode()
@@ -93,9 +96,9 @@
     return [
         Write(_TABLE, _HEAD, head_body, head.version),
         Write(_TABLE, _FILE_PREFIX + row.name, body),
-        Write(_REVISIONS, _encode_number(row.revision), body, ABSENT),
-        Write(_GENERATIONS, generation_key, body, ABSENT),
-        Write(_APPLIES, row.apply_id, body, ABSENT),
+        Write(_REVISION_TABLE, _encode_number(row.revision), body, ABSENT),
+        Write(_GENERATION_TABLE, generation_key, body, ABSENT),
+        Write(_APPLY_TABLE, row.apply_id, body, ABSENT),
     ]
 
 
@@ -122,7 +125,7 @@
 
 
 async def read_head(platform: PlatformClient) -> Result[Head, StoreError]:
-    """Read the head, zeros when nothing was ever accepted."""
+    """Read the head; revision 0 when nothing was ever accepted."""
     found = await platform.read_row(_TABLE, _HEAD, STORE_TIMEOUT)
     return found.bind(_decode_head)
 
@@ -131,9 +134,9 @@
     platform: PlatformClient,
     apply_id: str,
 ) -> Result[FileRow | None, StoreError]:
-    """Find what an apply id accepted, ``None`` when it accepted nothing."""
-    found = await platform.read_row(_APPLIES, apply_id, STORE_TIMEOUT)
-    return found.bind(lambda row: _decode_row(row, _APPLIES))
+    """Find the change accepted under an apply id, ``None`` if there is none."""
+    found = await platform.read_row(_APPLY_TABLE, apply_id, STORE_TIMEOUT)
+    return found.bind(lambda row: _decode_row(row, _APPLY_TABLE))
 
 
 async def read_generation(
@@ -143,11 +146,11 @@
 ) -> Result[FileRow | None, StoreError]:
     """Read the row of one generation of a file."""
     found = await platform.read_row(
-        _GENERATIONS,
+        _GENERATION_TABLE,
         _encode_generation_key(name, generation),
         STORE_TIMEOUT,
     )
-    return found.bind(lambda row: _decode_row(row, _GENERATIONS))
+    return found.bind(lambda row: _decode_row(row, _GENERATION_TABLE))
 
 
 async def list_generations(
@@ -158,7 +161,7 @@
     """List the accepted changes of a file after a generation."""
     return await _scan(
         platform,
-        _GENERATIONS,
+        _GENERATION_TABLE,
         prefix=f'{name}/',
         after=_encode_generation_key(name, after),
     )
@@ -169,14 +172,14 @@
     after: int,
 ) -> Result[list[FileRow], StoreError]:
     """List the accepted changes of the whole site after a revision."""
-    rows = await _scan(platform, _REVISIONS, after=_encode_number(after))
+    rows = await _scan(platform, _REVISION_TABLE, after=_encode_number(after))
     return rows.bind(lambda read: _check_gaps(read, after))
 
 
 async def list_files(
     platform: PlatformClient,
 ) -> Result[list[FileRow], StoreError]:
-    """List the newest row of every file; not read at one instant."""
+    """List the newest row of every file; not one consistent read."""
     return await _scan(platform, _TABLE, prefix=_FILE_PREFIX)
 
 
@@ -184,7 +187,7 @@
     platform: PlatformClient,
     digest: str,
 ) -> Result[str, StoreError]:
-    """Fetch the text with a digest; one that does not match is an error."""
+    """Fetch the text with a digest; a text that doesn't match is an error."""
     fetched = await platform.get_object(
         f'configuration/{digest}',
         STORE_TIMEOUT,
@@ -198,7 +201,7 @@
     prefix: str = '',
     after: str = '',
 ) -> Result[list[FileRow], StoreError]:
-    """Read all rows after a key, however many pages they fill."""
+    """Read all rows after a key, page by page."""
     rows: list[Row] = []
     while True:
         page = await platform.scan_rows(
@@ -206,12 +209,12 @@
             STORE_TIMEOUT,
             prefix=prefix,
             after=rows[-1].key if rows else after,
-            limit=_PAGE,
+            limit=_PAGE_ROWS,
         )
         if isinstance(page, Failure):
             return page
         rows += page.unwrap()
-        if len(page.unwrap()) < _PAGE:
+        if len(page.unwrap()) < _PAGE_ROWS:
             return _decode_rows(rows, table)
 
 
@@ -261,10 +264,10 @@
     rows: list[FileRow],
     after: int,
 ) -> Result[list[FileRow], StoreError]:
-    """Refuse a history that lacks a revision: its change would be lost."""
+    """Reject a history that lacks a revision: its change would be lost."""
     for expected, row in enumerate(rows, after + 1):
         if row.revision != expected:
-            return Failure(_damage(_REVISIONS, f'no revision {expected}'))
+            return Failure(_damage(_REVISION_TABLE, f'no revision {expected}'))
     return Success(rows)
 
 
