--- a/src/kelproad/coordination/dump.py
+++ b/src/kelproad/coordination/dump.py
@@ -1,4 +1,4 @@
-"""The state of this process, for people; it holds no secrets."""
+"""The state of this process, for operators; it contains no secrets."""
 
 import math
 
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Dump:
-    """Views of the parts of an instance."""
+    """Describes the state of an instance from its parts."""
 
     identity: Identity
     holder: SnapshotHolder
@@ -37,7 +37,7 @@
     orders: OrderKeeper
 
     def summarize(self) -> Fields:
-        """Describe the site as this instance sees it, briefly."""
+        """Summarize the site as far as this instance knows it."""
         now = monotonic()
         snapshot = self.holder.current
         lags = describe_lag(
@@ -65,7 +65,7 @@
         }
 
     def describe(self) -> Fields:
-        """Describe the whole state of the process."""
+        """Add to the summary the requests, open cancels and violations."""
         now = monotonic()
         return {
             **self.summarize(),
--- a/src/kelproad/coordination/fileapi.py
+++ b/src/kelproad/coordination/fileapi.py
@@ -1,4 +1,4 @@
-"""The operators' API of files: apply, read, and their history."""
+"""The operators' API for files: apply, read and history."""
 
 import attrs
 import msgspec
@@ -28,14 +28,14 @@
 
 
 class FileApi:
-    """Answers operators about files; the caller is authenticated already."""
+    """Handles operators' calls on files; callers are already authenticated."""
 
     def __init__(
         self,
         writer: ConfigurationWriter,
         holder: SnapshotHolder,
     ) -> None:
-        """Accept by a writer and show what is in force in a holder."""
+        """Apply files through a writer; show those in force in a holder."""
         self._writer = writer
         self._holder = holder
 
@@ -44,7 +44,7 @@
         http_request: web.Request,
         operator: str,
     ) -> web.Response:
-        """Take a file, or the removal of one."""
+        """Apply a file, or the removal of one."""
         try:
             body = msgspec.json.decode(
                 await http_request.read(),
@@ -122,7 +122,7 @@
         name = http_request.match_info['name']
         listed = await list_generations(self._writer.platform, name)
         if isinstance(listed, Failure):
-            return _answer_store(listed)
+            return _answer_store_error(listed)
         return answer_json({'name': name, 'history': listed.unwrap()})
 
     async def get_generation(
@@ -136,7 +136,7 @@
         platform = self._writer.platform
         found = await read_generation(platform, name, int(number))
         if isinstance(found, Failure):
-            return _answer_store(found)
+            return _answer_store_error(found)
         row = found.unwrap()
         if row is None:
             return _answer_refusal(
@@ -147,7 +147,7 @@
         if row.digest:
             read = await read_text(platform, row.digest)
             if isinstance(read, Failure):
-                return _answer_store(read)
+                return _answer_store_error(read)
             text = read.unwrap()
         return answer_json({'row': row, 'text': text})
 
@@ -156,7 +156,7 @@
     content: object,
     status: int = 200,
 ) -> web.Response:
-    """Build an answer of JSON."""
+    """Build a JSON response; attrs classes are encoded as objects."""
     return web.Response(
         status=status,
         body=msgspec.json.encode(content),
@@ -193,7 +193,7 @@
     return answer_json({**body, **(details or {})}, code.status)
 
 
-def _answer_store(failed: Result[object, StoreError]) -> web.Response:
+def _answer_store_error(failed: Result[object, StoreError]) -> web.Response:
     error = failed.failure()
     return callers.answer_refusal(
         Refusal(
--- a/src/kelproad/coordination/instance.py
+++ b/src/kelproad/coordination/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance: its parts, how they are joined, how they stop."""
+"""One entry instance: its parts, their wiring and their shutdown."""
 
 import logging
 import random
@@ -42,12 +42,13 @@
 __all__ = ['Instance']
 
 _logger = logging.getLogger(__name__)
-#: Seconds in which calls that the limit of a stop interrupts are answered:
-#: what they have to write to callers is short.
+#: Seconds for answering the calls that the limit of a stop interrupts: what
+#: they have to write to callers is short.
 _ANSWER_LIMIT = 1.0
 #: Seconds that a stopping instance waits for engines to confirm cancels.
 _CANCEL_LIMIT = 5.0
-#: Seconds that it waits for outcomes to be written, when the platform is down.
+#: Seconds that it waits for outcomes of claims to be written, which takes as
+#: long only when the platform is down.
 _CLAIM_LIMIT = 5.0
 
 
@@ -57,7 +58,7 @@
     abstract = False
 
     def __init__(self, settings: Settings) -> None:
-        """Keep the settings; the parts are built when it starts."""
+        """Create the shared state; the other parts are built on start."""
         super().__init__()
         invariants.set_strict(settings.assert_invariants)
         self._settings = settings
@@ -78,7 +79,7 @@
         )
 
     async def on_first_start(self) -> None:
-        """Build the parts, start them, and listen last of all."""
+        """Build and start the parts, then listen for callers."""
         self._open_clients()
         self._create_control()
         self._create_entry()
@@ -104,12 +105,12 @@
         self._drain.start()
 
     async def run_until_drained(self) -> int:
-        """Serve until a planned stop has been asked for and is done.
+        """Serve until a planned stop has been requested and completed.
 
         Returns
         -------
         int
-            Requests that were cut, which is 0 unless the limit passed.
+            Interrupted requests, which are 0 unless the limit passed.
         """
         await self._drain.started.wait()
         _logger.info('leaving, %d requests in progress', len(self._requests))
@@ -121,7 +122,7 @@
         await self._canceller.finish(_CANCEL_LIMIT)
         unsettled = await self._claims.finish(_CLAIM_LIMIT)
         _logger.info(
-            'drained, %d requests left, %d claims left unsettled',
+            'drained, %d requests unfinished, %d claims unsettled',
             left,
             unsettled,
         )
@@ -138,7 +139,7 @@
         )
 
     def _create_control(self) -> None:
-        """Build what goes on whether or not there are requests."""
+        """Build the parts that run whether or not there are requests."""
         self._canceller = Canceller(self._engines, self._counters)
         self._follower = ConfigurationFollower(
             self._settings,
@@ -192,7 +193,7 @@
         )
 
     def _create_entry(self) -> None:
-        """Build the way of a request."""
+        """Build the parts that handle requests."""
         limits = self._membership.limits
         accounts = Accounts(
             self._requests,
--- a/src/kelproad/coordination/operators.py
+++ b/src/kelproad/coordination/operators.py
@@ -1,4 +1,4 @@
-"""The operators' API of an instance, on a port of its own."""
+"""The operators' API of an instance, on a separate port."""
 
 from collections.abc import Awaitable, Callable
 
@@ -21,7 +21,7 @@
 
 
 class OperatorApi:
-    """Answers operators; every call needs a token."""
+    """Handles operators' calls; every call needs a token."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         counters: Counters,
         start_drain: Callable[[], None],
     ) -> None:
-        """Answer from the parts of this instance."""
+        """Answer from the given parts; ``start_drain`` begins the stop."""
         self._settings = settings
         self._files = FileApi(writer, dump.holder)
         self._dump = dump
@@ -107,7 +107,7 @@
             return callers.answer_refusal(
                 Refusal(
                     RefusalCode.NOT_FOUND,
-                    'this instance does not remember the request',
+                    'this instance has no record of the request',
                     Step.RECEIVE,
                 ),
                 request_id,
--- a/src/kelproad/coordination/races.py
+++ b/src/kelproad/coordination/races.py
@@ -1,4 +1,4 @@
-"""Races between operators: what the one who lost is told."""
+"""Edit conflicts between operators: the refusal of an outdated edit."""
 
 import difflib
 
@@ -13,15 +13,15 @@
 
 @attrs.frozen
 class Raced:
-    """A submission whose base is no longer the newest.
+    """A refused submission whose base generation is not the newest.
 
     Attributes
     ----------
     meanwhile
-        What was accepted after the base, oldest first.
+        Changes accepted after the base, oldest first.
     difference
         Unified difference from the base's text to the newest one; empty when
-        the store could not give them.
+        the store could not be read.
     """
 
     refusal: Refusal
@@ -35,7 +35,7 @@
     base: int,
     newest: int,
 ) -> Raced:
-    """Collect what was accepted since the generation the operator saw."""
+    """Collect the changes accepted since the generation ``base``."""
     listed = await list_generations(platform, name, base)
     rows = listed.value_or([])
     first = await read_generation(platform, name, base)
--- a/src/kelproad/coordination/sides.py
+++ b/src/kelproad/coordination/sides.py
@@ -1,7 +1,7 @@
-"""The HTTP sides of an instance: callers' and operators'.
+"""The HTTP servers of an instance: for callers and for operators.
 
-The callers' side also tells the platform's balancer whether the instance is
-ready, publishes metrics, and answers its own faults in the one shape.
+The callers' server also reports readiness to the platform's balancer, publishes
+metrics, and answers internal errors in the same form as other refusals.
 """
 
 import functools
@@ -29,16 +29,17 @@
 
 _logger = logging.getLogger(__name__)
 #: Bytes of the largest file that an operator may apply.
-_LARGEST_FILE = 3 * 1024 * 1024
+_MAX_FILE_BYTES = 3 * 1024 * 1024
 
-_SERVED_TO_THE_END = frozenset(('/healthz', '/metrics'))
+#: Paths that are served even while calls are refused.
+_ALWAYS_SERVED = frozenset(('/healthz', '/metrics'))
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 @attrs.frozen
 class CallerSide:
-    """Paths for callers and for the platform's balancer."""
+    """Routes for callers and for the platform's balancer."""
 
     _entry: Entry
     _drain: Drain
@@ -47,12 +48,12 @@
     _counters: Counters
 
     def create_application(self) -> web.Application:
-        """Build the application to serve."""
+        """Build the application: routes, middlewares and response hooks."""
         application = web.Application(
             middlewares=[self._refuse_on_error, self._refuse_when_leaving],
         )
         application.on_response_prepare.append(self._close_when_leaving)
-        application.on_response_prepare.append(_note_begun)
+        application.on_response_prepare.append(_record_begun)
         application.add_routes(
             [
                 *self._entry.routes(),
@@ -69,7 +70,7 @@
         http_request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
-        is_work = http_request.path not in _SERVED_TO_THE_END
+        is_work = http_request.path not in _ALWAYS_SERVED
         if self._drain.phase is DrainPhase.REFUSING and is_work:
             return callers.answer_refusal(refuse_leaving(), '')
         return await handler(http_request)
@@ -80,24 +81,24 @@
         http_request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
-        """Answer in the one shape also when this program has a fault."""
+        """Turn HTTP errors and unexpected exceptions into refusals."""
         try:
             return await handler(http_request)
         except web.HTTPException as answered:
             return callers.answer_refusal(_refuse_http(answered), '')
         except Exception:
             _logger.exception('unexpected error in %s', http_request.path)
-            return callers.answer_refusal(_refuse_fault(), '')
+            return callers.answer_refusal(_refuse_internal(), '')
 
     async def _close_when_leaving(
         self,
         _http_request: web.Request,
         response: web.StreamResponse,
     ) -> None:
-        """Have callers leave kept connections while they are told so.
+        """Make callers close persistent connections during the drain.
 
-        A call that arrives on a kept connection in the moment of the exit is
-        reset, and its sender cannot tell whether it ran.
+        A call that arrives on a persistent connection at the moment of exit is
+        reset, and its sender cannot know whether it ran.
         """
         if self._drain.phase is not DrainPhase.SERVING:
             response.headers['Connection'] = 'close'
@@ -124,8 +125,8 @@
     operators: OperatorApi,
     counters: Counters,
 ) -> list[HttpServer]:
-    """Create the servers of both sides; none listens before it is started."""
-    operator_side = web.Application(client_max_size=_LARGEST_FILE)
+    """Create both servers; neither listens before it is started."""
+    operator_side = web.Application(client_max_size=_MAX_FILE_BYTES)
     operator_side.add_routes(operators.routes())
     sides = (
         (
@@ -145,11 +146,11 @@
     ]
 
 
-async def _note_begun(
+async def _record_begun(
     http_request: web.Request,
     _response: web.StreamResponse,
 ) -> None:
-    """Note that the answer of a call has begun: it can have no other one."""
+    """Record that a response has begun and can no longer be replaced."""
     http_request[ANSWER_BEGUN] = True
 
 
@@ -167,10 +168,10 @@
     )
 
 
-def _refuse_fault() -> Refusal:
+def _refuse_internal() -> Refusal:
     return Refusal(
         RefusalCode.INTERNAL,
-        'a fault of this program; whether the work ran is not known',
+        'internal error; it is not known whether the work ran',
         Step.RELAY,
         ran=Ran.UNKNOWN,
     )
