--- a/src/kelproad/coordination/gossip.py
+++ b/src/kelproad/coordination/gossip.py
@@ -48,6 +48,7 @@
 #: Share of a message that heartbeats may take; loads get the rest.
 _HEARTBEAT_SHARE = 0.5
 
+#: Epoch, incarnation and version of a record.
 _Order = tuple[int, int, int]
 #: Sorts before the position of any record.
 _NEVER: _Order = (-1, -1, -1)
@@ -97,7 +98,7 @@
         There is one version per turn of all strides: a newer one would replace
         it on the way and cost bytes without arriving sooner.
         """
-        strides = len(_list_strides(len(self._ring(now))))
+        strides = len(_list_strides(len(self._list_ring(now))))
         rounds = max(1, strides // _FANOUT)
         return self._round % rounds == 0
 
@@ -179,7 +180,7 @@
 
     # Peers
 
-    def _ring(self, now: float) -> list[tuple[str, str]]:
+    def _list_ring(self, now: float) -> list[tuple[str, str]]:
         """List the zone's live instances, as (name, address) in ring order."""
         place = self._place
         names = {
@@ -191,7 +192,7 @@
         return sorted(names.items(), key=_hash_name)
 
     def _choose_in_zone(self, now: float) -> list[str]:
-        ring = self._ring(now)
+        ring = self._list_ring(now)
         strides = _list_strides(len(ring))
         if not strides:
             return []
@@ -217,8 +218,8 @@
         live = self._members.live(now)
         by_side: dict[str, list[Member]] = {}
         for member in live:
-            far_region = member.region != place.region
-            side = f'region {member.region}' if far_region else member.zone
+            is_other_region = member.region != place.region
+            side = f'region {member.region}' if is_other_region else member.zone
             if side != place.zone:
                 by_side.setdefault(side, []).append(member)
         local_zone = frozenset((place.name,)) | {
@@ -240,7 +241,7 @@
         return addresses[self._generator.choice(owners)]
 
     def _choose_probes(self, now: float, listed: dict[str, str]) -> list[str]:
-        """Choose at random a silent address and a suspected member.
+        """Choose one address without a live member, and a suspected member.
 
         This is how a new instance finds the others, how a suspected one
         learns that it is suspected, and how zones reconnect after a partition.
--- a/src/kelproad/coordination/membership.py
+++ b/src/kelproad/coordination/membership.py
@@ -243,9 +243,14 @@
 
     def _send_records(self, addresses: list[str]) -> None:
         now = self._clock()
-        room = self._gossiper.refill(now) / max(1, len(addresses))
+        budget = self._gossiper.refill(now) / max(1, len(addresses))
         for address in addresses:
-            packed = self._gossiper.pack(address, self._local_record, now, room)
+            packed = self._gossiper.pack(
+                address,
+                self._local_record,
+                now,
+                budget,
+            )
             self._gossiper.spend(self.send(address, Gossip(packed)))
 
     def _account_for_pause(self, now: float) -> None:
--- a/src/kelproad/coordination/orders.py
+++ b/src/kelproad/coordination/orders.py
@@ -163,7 +163,7 @@
                 return False
             self._caught_up_token = token
             self._failures.restore(self._lease.note)
-            self.log.info('acquired %s with token %d', self._name, token)
+            self.log.info('acquired lease %s with token %d', self._name, token)
         return is_held
 
     def _is_candidate(self) -> bool:
--- a/src/kelproad/coordination/orphans.py
+++ b/src/kelproad/coordination/orphans.py
@@ -188,8 +188,8 @@
 def judge_held(item: HeldItem, ownership: Ownership) -> Evidence | None:
     """Return why an item has no owner any more, or ``None`` if it may.
 
-    Past its deadline nobody waits for it: the owner has refused the call by
-    then.  A higher incarnation of the owner means that the process which held
+    Past its deadline nobody waits for it: its caller has been refused by then.
+    A higher incarnation of the owner means that the process which held
     the item has exited, unless a connection still reads it: then the old
     process is being replaced and finishes its calls.  An item of this process
     that it has not on record is abandoned, since the record is made before the
--- a/src/kelproad/coordination/rollout.py
+++ b/src/kelproad/coordination/rollout.py
@@ -80,17 +80,17 @@
 def plan_orders(situation: Situation) -> Plan:
     """Plan the next orders of a zone, in the order of endpoint names."""
     plan = Plan()
-    busy = _count_busy(situation)
+    busy = _collect_busy(situation)
     for endpoint in sorted(situation.desired):
         state = situation.observed.get(endpoint)
         if state is None:
             plan.notes[endpoint] = 'does not answer'
             continue
-        found = _find_differences(situation, endpoint, state)
-        if found:
+        differences = _find_differences(situation, endpoint, state)
+        if differences:
             group = situation.desired[endpoint].group
             group_busy = busy.setdefault(group.name, set())
-            _plan_in_turn(situation, plan, endpoint, found, group_busy)
+            _plan_in_turn(situation, plan, endpoint, differences, group_busy)
         else:
             _note_loading(situation, plan, endpoint)
     return plan
@@ -100,13 +100,13 @@
     situation: Situation,
     plan: Plan,
     endpoint: str,
-    found: list[_Difference],
+    differences: list[_Difference],
     busy: set[str],
 ) -> None:
     limit = situation.desired[endpoint].group.max_loading
     if endpoint not in busy and len(busy) >= limit:
         plan.notes[endpoint] = 'waits for others to load'
-    elif _plan_endpoint(situation, plan, endpoint, found):
+    elif _plan_endpoint(situation, plan, endpoint, differences):
         busy.add(endpoint)
 
 
@@ -114,15 +114,15 @@
     situation: Situation,
     plan: Plan,
     endpoint: str,
-    found: list[_Difference],
+    differences: list[_Difference],
 ) -> bool:
     """Plan for one engine; return whether it now counts as loading."""
     not_before = situation.not_before.get(endpoint, situation.now)
     if situation.now < not_before:
-        plan.notes[endpoint] = 'waits for the weight store'
+        plan.notes[endpoint] = 'waits before it loads again'
         _keep_withheld(situation, plan, endpoint)
         return False
-    if any(difference.is_disruptive for difference in found):
+    if any(difference.is_disruptive for difference in differences):
         only = _find_only_ready(situation, plan, endpoint)
         if only:
             plan.notes[endpoint] = f'is the last one ready for {only}'
@@ -135,7 +135,7 @@
             return True
     _keep_withheld(situation, plan, endpoint)
     plan.notes[endpoint] = 'ordered'
-    plan.orders += [(endpoint, difference.order) for difference in found]
+    plan.orders += [(endpoint, difference.order) for difference in differences]
     return True
 
 
@@ -145,7 +145,7 @@
         plan.withheld[endpoint] = since
 
 
-def _count_busy(situation: Situation) -> dict[str, set[str]]:
+def _collect_busy(situation: Situation) -> dict[str, set[str]]:
     """Collect by group the engines that are loading or withheld."""
     busy: dict[str, set[str]] = {}
     for endpoint, desired in situation.desired.items():
@@ -164,7 +164,7 @@
     state: EngineState,
 ) -> list[_Difference]:
     desired = situation.desired[endpoint]
-    found = []
+    differences = []
     for wanted in desired.models:
         difference = _compare(
             _choose_version(situation, desired, wanted),
@@ -172,7 +172,7 @@
             situation.token,
         )
         if difference is not None:
-            found.append(difference)
+            differences.append(difference)
     names = {wanted.model for wanted in desired.models}
     for held in state.models:
         if held.model not in names:
@@ -182,7 +182,7 @@
                 desired.generation,
                 held.model,
             )
-            found.append(_Difference(order, is_disruptive=True))
+            differences.append(_Difference(order, is_disruptive=True))
     if state.role is not desired.group.role:
         order = Order(
             OrderKind.ROLE,
@@ -190,8 +190,8 @@
             desired.generation,
             role=desired.group.role,
         )
-        found.append(_Difference(order, is_disruptive=True))
-    return found
+        differences.append(_Difference(order, is_disruptive=True))
+    return differences
 
 
 def _compare(
