--- a/src/kelproad/coordination/confirmation.py
+++ b/src/kelproad/coordination/confirmation.py
@@ -119,7 +119,7 @@
 def _refuse_unconfirmed() -> Refusal:
     return Refusal(
         RefusalCode.NOT_READY,
-        'not known here; the store could not be read to confirm this',
+        'not known here; whether it was accepted recently is not confirmed',
         Step.CONFIGURE,
         retry_after=_RETRY_AFTER,
     )
--- a/src/kelproad/coordination/grouping.py
+++ b/src/kelproad/coordination/grouping.py
@@ -27,7 +27,8 @@
 MAX_ROWS = 100
 #: Seconds that a transaction may take.
 WRITE_TIMEOUT = 2.0
-#: Seconds without any answer after which only one transaction is tried.
+#: Seconds without any answer after which the platform counts as down; then only
+#: one transaction at a time is tried.
 SILENT_AFTER = 1.0
 _OPERATION = 'transact'
 
