--- a/src/kelproad/state/endpoints.py
+++ b/src/kelproad/state/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as this instance sees them: load reported, work sent."""
+"""Endpoints as this instance knows them: load reported, work sent."""
 
 import collections
 from collections.abc import Iterable, Mapping
@@ -15,24 +15,24 @@
 
 __all__ = ['Contention', 'Endpoint', 'EndpointTable']
 
-#: Seconds before it was read that a report may describe.
+#: Seconds by which the state in a report may be older than its reading.
 REPORT_LAG = 0.5
 
 
-def _count_none() -> list[int]:
+def _zero_by_class() -> list[int]:
     return [0 for _ in LengthClass]
 
 
 @attrs.define
 class Endpoint:
-    """One back end with everything that routing needs to know of it.
+    """One back end with the state that routing uses.
 
     Attributes
     ----------
     own_tokens
         Prompt tokens that this instance has in flight there.
     peer_tokens
-        Prompt tokens that other instances said they have in flight there.
+        Prompt tokens that other instances report to have in flight there.
     own_by_class, peer_by_class
         The same by length class, which is the priority at the engine.
     reported_at
@@ -40,22 +40,23 @@
     read_here
         Whether this instance read ``report`` from the engine itself.
     rate
-        Prefill tokens a second, learned from own requests.
+        Prefill tokens per second, learned from local requests.
     group_rate
         The same learned over all endpoints of the group.
     computed_tokens
-        Prompt tokens that this instance ever had computed there.
+        Total of the prompt tokens that this instance sent and that are no
+        longer in flight.
     on_probation
-        It was taken out for failing and has not done well since.
+        Whether it was ejected for failures and no attempt has succeeded since.
     restored_at
-        Monotonic time at which it was let back in.
+        Monotonic time at which its latest probation ended.
     ejections
-        How often in a row it was taken out.
+        Number of ejections in a row.
     failures
         Share of the latest attempts there that failed.
     disowned_until
-        Monotonic time until which its address counts as somebody else's, as
-        another endpoint answered there.
+        Monotonic time until which it gets no calls, because another endpoint
+        answered at its address.
     """
 
     declaration: EndpointDeclaration
@@ -70,8 +71,8 @@
     ejected_until: float = float('-inf')
     listed_leaving: bool = False
     withheld: bool = False
-    own_by_class: list[int] = attrs.field(factory=_count_none)
-    peer_by_class: list[int] = attrs.field(factory=_count_none)
+    own_by_class: list[int] = attrs.field(factory=_zero_by_class)
+    peer_by_class: list[int] = attrs.field(factory=_zero_by_class)
     rate: LearnedRate = attrs.field(factory=LearnedRate)
     group_rate: LearnedRate = attrs.field(factory=LearnedRate)
     computed_tokens: int = 0
@@ -91,34 +92,34 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it must get no new work, by any source's word."""
-        said_so = self.report is not None and self.report.leaving
+        """Whether any source states that it must get no new work."""
+        reported = self.report is not None and self.report.leaving
         return (
             self.declaration.leaving
             or self.listed_leaving
             or self.withheld
-            or said_so
+            or reported
         )
 
     @property
     def tokens_per_second(self) -> float:
-        """Prefill rate as learned, or as declared before anything is."""
+        """Learned prefill rate; the declared one until one is learned."""
         declared = self.group.prefill_tokens_per_second
         return self.rate.value or self.group_rate.value or declared
 
     def observe_rate(self, rate: float) -> None:
-        """Learn from one observed prefill rate."""
+        """Update the learned rates, also that of the group, by an observation."""
         self.rate.observe(rate)
         self.group_rate.observe(rate)
 
     @property
     def known_tokens(self) -> int:
-        """Prompt tokens in flight there that an instance told of."""
+        """Prompt tokens that this instance and its peers have in flight there."""
         return self.own_tokens + self.peer_tokens
 
     @property
     def unreported_tokens(self) -> int:
-        """Prompt tokens sent there that no report can contain yet."""
+        """Prompt tokens sent there that the report cannot include yet."""
         return sum(tokens for _, tokens in self._unreported)
 
     def accept_report(
@@ -127,27 +128,28 @@
         read_at: float,
         here: bool = False,
     ) -> bool:
-        """Take a report if it is newer than the one held."""
+        """Replace the report by a newer one; return whether it is newer."""
         if read_at <= self.reported_at:
             return False
         self.report = report
         self.reported_at = read_at
         self.read_here = here
-        # An engine that was slow gets no work, so nothing would ever tell
-        # that it has recovered; what was learned fades with each report.
+        # An engine that was slow gets no work, so no observation would show
+        # that it has recovered; each report moves the learned rate towards
+        # that of the group.
         self.rate.fade(self.group_rate)
         while self._unreported and self._is_reported(self._unreported[0][0]):
             self._unreported.popleft()
         return True
 
     def begin_prefill(self, tokens: int, now: float) -> None:
-        """Enter a prompt that is sent there."""
+        """Record a prompt as sent there."""
         self.own_tokens += tokens
         self.own_by_class[classify_length(tokens)] += tokens
         self._unreported.append((now, tokens))
 
     def end_prefill(self, tokens: int) -> None:
-        """Take a prompt out that is computed or given up."""
+        """Remove a prompt that is prefilled or abandoned."""
         self.own_tokens -= tokens
         self.own_by_class[classify_length(tokens)] -= tokens
         self.computed_tokens += tokens
@@ -165,42 +167,44 @@
 
 @attrs.frozen
 class Contention:
-    """How long prompts of a class wait at present.
+    """Predicted wait of the prompts of one length class.
 
     Attributes
     ----------
     seconds
-        Predicted wait of the last one placed, fading with time.
+        Predicted wait of the prompt placed last, decreasing with time.
     slowdown
-        The same in multiples of the prompt's own time.
+        The same in multiples of the prompt's own prefill time.
     """
 
     seconds: float = 0
     slowdown: float = 0
-    noted_at: float = float('-inf')
+    recorded_at: float = float('-inf')
 
 
 class EndpointTable:
-    """Endpoints by name, kept in step with the configuration.
+    """Endpoints by name, updated with the configuration.
 
     Attributes
     ----------
     prefixes
-        Which endpoint computed which prompt prefixes lately.
+        Endpoints that recently computed each prompt prefix.
     sent_by_class
-        Prompt tokens sent by length class, older ones counting less.
+        Prompt tokens sent by length class; older ones have less weight.
     instances
-        Live instances, this one included.
+        Number of live instances, this one included.
     stretch
-        Observed over predicted time to first token, by length class: what
-        comes later with a higher priority is in no prediction.
+        Ratio of observed to predicted time to first token, by length class;
+        no prediction includes the prompts that arrive later with a higher
+        priority.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with no endpoints."""
         self._endpoints: dict[str, Endpoint] = {}
         self._by_group: dict[str, list[Endpoint]] = {}
-        #: Endpoints that this instance withholds, as holder of their orders.
+        #: Endpoints that this instance withholds as the holder of the lease
+        #: of the orders.
         self.withheld_here: frozenset[str] = frozenset()
         self._by_zone: dict[tuple[str, str], list[Endpoint]] = {}
         self._turns: dict[str, int] = {}
@@ -212,15 +216,15 @@
         self._contention: dict[LengthClass, Contention] = {}
 
     def follow(self, snapshot: Snapshot) -> None:
-        """Add, replace and remove endpoints as a new snapshot declares.
+        """Add, update and remove endpoints as a new snapshot declares.
 
         Counts of work in flight survive a changed declaration, because the
-        work does.
+        work goes on.
         """
         self.declare(snapshot.groups.values())
 
     def declare(self, groups: Iterable[EndpointGroup]) -> None:
-        """Hold exactly the endpoints of these groups."""
+        """Set the endpoints to exactly those of the groups."""
         kept: dict[str, Endpoint] = {}
         self._by_group = {}
         self._by_zone = {}
@@ -228,8 +232,8 @@
             members = [self._declare(item, group) for item in group.endpoints]
             self._by_group[group.name] = members
             for member in members:
-                place = (group.name, member.declaration.zone)
-                self._by_zone.setdefault(place, []).append(member)
+                location = (group.name, member.declaration.zone)
+                self._by_zone.setdefault(location, []).append(member)
             kept.update({member.name: member for member in members})
         self._endpoints = kept
 
@@ -238,30 +242,30 @@
         return self._by_group.get(group, [])
 
     def in_zone(self, group: str, zone: str) -> list[Endpoint]:
-        """List the endpoints of a group that stand in a zone."""
+        """List the endpoints of a group that run in a zone."""
         return self._by_zone.get((group, zone), [])
 
     def take_turn(self, service: str) -> int:
-        """Return how many turns a service has had, and count one more."""
+        """Return a service's position in its rotation, and advance it by one."""
         turn = self._turns.get(service, 0)
         self._turns[service] = turn + 1
         return turn
 
     def note_sent(self, tokens: int) -> None:
-        """Count a prompt into the mix of lengths; halve it when it is old."""
+        """Add a prompt to the length mix, which is halved when it gets large."""
         self.sent_by_class[classify_length(tokens)] += tokens
-        if sum(self.sent_by_class) > _MIX_TOKENS:
+        if sum(self.sent_by_class) > _MAX_MIX_TOKENS:
             self.sent_by_class = [sent / 2 for sent in self.sent_by_class]
 
     def note_contention(
         self,
         tokens: int,
         seconds: float,
-        computing: float,
+        prefill_seconds: float,
         now: float,
     ) -> None:
-        """Note the predicted wait of a prompt and its own time."""
-        slowdown = seconds / (computing + _LEAST_COMPUTING)
+        """Record the predicted wait of a prompt and its own prefill time."""
+        slowdown = seconds / (prefill_seconds + _MIN_PREFILL_SECONDS)
         self._contention[classify_length(tokens)] = Contention(
             seconds,
             slowdown,
@@ -269,21 +273,21 @@
         )
 
     def measure_contention(self, tokens: int, now: float) -> Contention:
-        """Return how long prompts like one wait, fading while none comes."""
-        noted = self._contention.get(classify_length(tokens))
-        if noted is None:
+        """Return the wait of a length class, decreasing while none is placed."""
+        latest = self._contention.get(classify_length(tokens))
+        if latest is None:
             return Contention()
-        # Queues drain while nothing is placed, a second each second.
-        left = max(0, noted.seconds - (now - noted.noted_at))
-        share = left / noted.seconds if noted.seconds else 0
-        return Contention(left, noted.slowdown * share, now)
+        # While nothing is placed, queues shrink by a second per second.
+        left = max(0, latest.seconds - (now - latest.recorded_at))
+        share = left / latest.seconds if latest.seconds else 0
+        return Contention(left, latest.slowdown * share, now)
 
     def get(self, name: str) -> Endpoint | None:
         """Find an endpoint by its name."""
         return self._endpoints.get(name)
 
     def find_zone(self, name: str) -> str:
-        """Find the zone of an endpoint; empty when it isn't known."""
+        """Find the zone of an endpoint; empty for an unknown endpoint."""
         endpoint = self._endpoints.get(name)
         return endpoint.declaration.zone if endpoint else ''
 
@@ -292,7 +296,7 @@
         return self._endpoints
 
     def withhold(self, names: frozenset[str]) -> None:
-        """Withhold exactly these endpoints from new requests."""
+        """Exclude exactly these endpoints from new requests."""
         for name, endpoint in self._endpoints.items():
             endpoint.withheld = name in names
 
@@ -305,18 +309,19 @@
         if endpoint is None or endpoint.declaration.incarnation != (
             declaration.incarnation
         ):
-            # One that started again has nothing of what was counted before.
+            # A restarted endpoint has none of the work that was counted.
             rate = self._group_rates.setdefault(group.name, LearnedRate())
             return Endpoint(declaration, group, group_rate=rate)
         if declaration.address != endpoint.declaration.address:
-            # Who answered at the former address says nothing of this one.
+            # Another endpoint answered at the former address, not at this.
             endpoint.disowned_until = float('-inf')
         endpoint.declaration = declaration
         endpoint.group = group
         return endpoint
 
 
-#: Seconds that a prompt takes at the least, however short it is.
-_LEAST_COMPUTING = 0.05
-#: Tokens over which the mix of lengths is measured.
-_MIX_TOKENS = 20_000_000
+#: Seconds that a prompt takes in addition, however short it is.
+_MIN_PREFILL_SECONDS = 0.05
+#: Sum of prompt tokens above which the length mix is halved, so that older
+#: prompts have less weight.
+_MAX_MIX_TOKENS = 20_000_000
--- a/src/kelproad/state/routes.py
+++ b/src/kelproad/state/routes.py
@@ -1,8 +1,9 @@
-"""Routes, services, workspaces and bounds that one configuration holds.
+"""Routes, services, workspaces and limits of one configuration version.
 
-Calls of this interface are opaque: the host and the path choose a route, and
-the route says what may be repeated.  A configuration is received whole; it is
-immutable, so a call keeps the one that admitted it.
+The content of routed calls is not interpreted: host and path select a route,
+and the kind of the route determines what may be repeated.  A configuration is
+received complete and is immutable, so a call keeps the version that admitted
+it.
 """
 
 import enum
@@ -26,7 +27,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """What may be repeated of a call, and how its answer comes."""
+    """Whether calls may be repeated, and the form of their answers."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -40,20 +41,20 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether work that may have run may be run again."""
+        """Whether a call that may have run may be run again."""
         return self in _REPEATABLE
 
 
-#: Seconds one way between two zones where the configuration doesn't say; the
-#: sites of today have 4.4 and 5.4 ms.
-ASSUMED_DELAY = 0.005
+#: One-way delay in seconds between two zones for which the configuration has
+#: none; the present sites have 4.4 and 5.4 ms.
+_DEFAULT_ZONE_DELAY = 0.005
 _STREAMS = frozenset((CallKind.STREAM, CallKind.RESUMABLE_STREAM))
 _REPEATABLE = frozenset((CallKind.IDEMPOTENT, CallKind.RESUMABLE_STREAM))
 
 
 @attrs.frozen
 class WeightedService:
-    """A service that gets a share of the calls of a route."""
+    """A service of a route, and the weight of its share of the calls."""
 
     name: str
     weight: float
@@ -61,26 +62,27 @@
 
 @attrs.frozen
 class Route:
-    """Where calls go, and how they may be treated.
+    """Services for the calls of a host and path prefix, and their treatment.
 
     Attributes
     ----------
     prefix
-        Beginning of the paths of the route; it begins and ends with a slash.
+        Prefix of the paths of the route; it begins and ends with a slash.
     services
-        Services that answer, each with its share of the calls.
+        Services that answer, each with the weight of its share.
     timeout
         Seconds that a caller may be kept waiting.
     objective
-        Seconds within which an answer, or the first event, is on time.
+        Seconds within which an answer, or the first event of a stream, is to
+        come.
     gap_objective
-        Seconds that a stream may pause and still be on time.
+        Seconds between two events up to which a stream meets its objective.
     patience
-        Seconds without an event after which callers leave a stream.
+        Seconds without an event after which callers abandon a stream.
     priority
-        Rank among the routes; 0 goes first.
+        Rank among the routes; 0 is served first.
     most_endpoints
-        Endpoints to which one call may be sent.
+        Maximum number of endpoints to which one call may be sent.
     anonymous
         Whether calls need no API key.
     """
@@ -101,7 +103,7 @@
 
 @attrs.frozen
 class RoutedService:
-    """A service behind routes.
+    """A service that routes refer to.
 
     Attributes
     ----------
@@ -115,7 +117,7 @@
 
 @attrs.frozen
 class RoutedWorkspace:
-    """A customer, known by its API keys."""
+    """A customer, identified by its API keys."""
 
     name: str
     priority: int | None = None
@@ -123,7 +125,7 @@
 
 @attrs.frozen
 class IngressLimits:
-    """What callers may send, and how long they may take or stay idle."""
+    """Size limits in bytes and time-outs in seconds for callers."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -133,14 +135,15 @@
 
 @attrs.frozen
 class RoutingConfiguration:
-    """One version of everything that operators configure for routes.
+    """One version of the configuration of all routes.
 
     Attributes
     ----------
     routes
-        By host, the longest prefix first.
+        Routes by lower-case host, the longest prefix first.
     zone_delays
-        Seconds one way between two availability zones, in either order.
+        One-way delay in seconds between two availability zones, the same in
+        both directions.
     """
 
     version: int
@@ -174,7 +177,9 @@
                 for host, found in by_host.items()
             },
             {
-                service.name: _limit_pauses(service, gaps.get(service.name, []))
+                service.name: _add_stall_limits(
+                    service, gaps.get(service.name, [])
+                )
                 for service in services
             },
             workspaces_by_key,
@@ -183,18 +188,20 @@
         )
 
     def find_delay(self, zone: str, other: str) -> float:
-        """Return the seconds one way between two availability zones."""
+        """Return the one-way delay in seconds between two availability zones."""
         if zone == other:
             return 0
-        return self.zone_delays.get(frozenset((zone, other)), ASSUMED_DELAY)
+        return self.zone_delays.get(
+            frozenset((zone, other)), _DEFAULT_ZONE_DELAY
+        )
 
     def find_profile(self, service: str) -> EngineProfile | None:
-        """Return the speeds of a service's engines; ``None`` if it has none."""
+        """Return the engine profile of a service; ``None`` if it has none."""
         found = self.services.get(service)
         return found.engine if found else None
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Find the route of a host whose prefix is the longest that fits."""
+        """Return the route of a host with the longest matching prefix."""
         name, _, _ = host.lower().partition(':')
         for route in self.routes.get(name, ()):
             if path.startswith(route.prefix):
@@ -202,8 +209,10 @@
         return None
 
 
-def _limit_pauses(service: RoutedService, gaps: list[float]) -> RoutedService:
-    """Tell a service's engines how long the streams of its routes may pause."""
+def _add_stall_limits(
+    service: RoutedService, gaps: list[float]
+) -> RoutedService:
+    """Add the stall limits that follow from the gap objectives of the routes."""
     if service.engine is None:
         return service
     engine = attrs.evolve(service.engine, pauses=PauseLimits.from_gaps(gaps))
@@ -211,5 +220,5 @@
 
 
 def _rank_prefix(route: Route) -> int:
-    """Rank the longest prefix first."""
+    """Return a sort key that puts the longest prefix first."""
     return -len(route.prefix)
