--- a/src/kelproad/state/endpoints.py
+++ b/src/kelproad/state/endpoints.py
@@ -92,7 +92,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether any source states that it must get no new work."""
+        """Whether any source reports that it must get no new work."""
         reported = self.report is not None and self.report.leaving
         return (
             self.declaration.leaving
@@ -103,18 +103,18 @@
 
     @property
     def tokens_per_second(self) -> float:
-        """Learned prefill rate; the declared one until one is learned."""
+        """Prefill rate: learned, or as declared until one is learned."""
         declared = self.group.prefill_tokens_per_second
         return self.rate.value or self.group_rate.value or declared
 
     def observe_rate(self, rate: float) -> None:
-        """Update the learned rates, also that of the group, by an observation."""
+        """Learn from one observed rate, for the endpoint and its group."""
         self.rate.observe(rate)
         self.group_rate.observe(rate)
 
     @property
     def known_tokens(self) -> int:
-        """Prompt tokens that this instance and its peers have in flight there."""
+        """Prompt tokens in flight there from this instance and peers."""
         return self.own_tokens + self.peer_tokens
 
     @property
@@ -246,13 +246,13 @@
         return self._by_zone.get((group, zone), [])
 
     def take_turn(self, service: str) -> int:
-        """Return a service's position in its rotation, and advance it by one."""
+        """Return a service's turn in its rotation, and advance it by one."""
         turn = self._turns.get(service, 0)
         self._turns[service] = turn + 1
         return turn
 
     def note_sent(self, tokens: int) -> None:
-        """Add a prompt to the length mix, which is halved when it gets large."""
+        """Add a prompt to the length mix, halved when it gets large."""
         self.sent_by_class[classify_length(tokens)] += tokens
         if sum(self.sent_by_class) > _MAX_MIX_TOKENS:
             self.sent_by_class = [sent / 2 for sent in self.sent_by_class]
@@ -273,7 +273,7 @@
         )
 
     def measure_contention(self, tokens: int, now: float) -> Contention:
-        """Return the wait of a length class, decreasing while none is placed."""
+        """Return the wait of a length class; it falls while none is placed."""
         latest = self._contention.get(classify_length(tokens))
         if latest is None:
             return Contention()
--- a/src/kelproad/state/observations.py
+++ b/src/kelproad/state/observations.py
@@ -1,8 +1,9 @@
-"""What instances noticed of engines that the engines' entries don't say.
+"""Observations of engines that are not in the engines' entries.
 
-An engine that drains refuses to read parts of others' prompts before its entry
-says so, and while the store is away no entry changes at all.  What one
-instance ran into is told to its peers, so that not each of them has to.
+An engine that drains refuses to prefill parts of other engines' prompts before
+its entry states the drain, and while the store is unavailable no entry changes
+at all.  Each instance reports its observations to its peers, so that not each
+of them runs into the same refusal or delay.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,130 +12,131 @@
 
 __all__ = ['EngineObservations']
 
-#: Seconds for which an engine that refused to help is not asked again.
+#: Seconds for which an engine that refused to help gets no request for help.
 _REFUSED_SECONDS = 5.0
-#: Seconds for which an engine counts as slow that said so; it is asked again
-#: every second.
+#: Seconds for which an engine that reported a slowdown counts as slow; it is
+#: queried again every second.
 _SLOW_SECONDS = 2.0
-#: Seconds for which an engine is left that did not answer; it is asked again
-#: meanwhile.
+#: Seconds for which an engine that did not answer counts as silent; it is
+#: queried again meanwhile.
 _SILENT_SECONDS = 2.0
-#: Seconds for which the word of a peer holds; it is repeated while it does.
-_TOLD_SECONDS = 1.2
+#: Seconds for which a peer's report is valid; the peer repeats it while the
+#: observation holds.
+_REPORT_SECONDS = 1.2
 
 
 @attrs.frozen
 class _Slowdown:
-    """Times the published seconds that an engine takes, and until when.
+    """Slowdown of an engine, as a factor on its published times.
 
-    ``teller`` is the peer that said so, empty for what was seen here.
+    ``reporter`` is the peer that reported it, empty for a local observation.
     """
 
     factor: float
     until: float
-    teller: str = ''
+    reporter: str = ''
 
 
 @attrs.define
 class EngineObservations:
-    """Observations of this instance, and those that peers told of."""
+    """Observations of this instance, and those that peers report."""
 
     _refused_until: dict[str, float] = attrs.field(factory=dict)
-    _told_until: dict[str, float] = attrs.field(factory=dict)
+    _peer_refused_until: dict[str, float] = attrs.field(factory=dict)
     _silent_until: dict[str, float] = attrs.field(factory=dict)
     _slow: dict[str, _Slowdown] = attrs.field(factory=dict)
-    _told_slow: dict[str, _Slowdown] = attrs.field(factory=dict)
+    _peer_slow: dict[str, _Slowdown] = attrs.field(factory=dict)
 
     def note_refusal(self, endpoint: str, now: float) -> None:
-        """Note that an engine refused to read a part for another one."""
+        """Record that an engine refused to prefill a part for another one."""
         self._refused_until[endpoint] = now + _REFUSED_SECONDS
 
     def refuses_help(self, endpoint: str, now: float) -> bool:
-        """Tell whether an engine would probably refuse to help."""
-        own = self._refused_until.get(endpoint, now)
-        told = self._told_until.get(endpoint, now)
-        return max(own, told) > now
+        """Return whether an engine would probably refuse to help."""
+        local = self._refused_until.get(endpoint, now)
+        reported = self._peer_refused_until.get(endpoint, now)
+        return max(local, reported) > now
 
     def list_refusing(self, now: float) -> list[str]:
-        """List the engines that refused this instance, to tell its peers."""
-        self._drop_outdated(now)
+        """List the engines that refused this instance, to report to peers."""
+        self._remove_expired(now)
         return list(self._refused_until)
 
     def accept_refusing(self, endpoints: Iterable[str], now: float) -> None:
-        """Take in which engines refused a peer."""
+        """Record which engines refused a peer."""
         for endpoint in endpoints:
-            self._told_until[endpoint] = now + _TOLD_SECONDS
+            self._peer_refused_until[endpoint] = now + _REPORT_SECONDS
 
     def note_silence(self, endpoint: str, now: float) -> None:
-        """Note that an engine does not answer this instance."""
+        """Record that an engine does not answer this instance."""
         self._silent_until[endpoint] = now + _SILENT_SECONDS
 
     def note_answer(self, endpoint: str) -> None:
-        """Note that an engine answered this instance."""
+        """Record that an engine answered this instance."""
         self._silent_until.pop(endpoint, None)
 
     def is_silent(self, endpoint: str, now: float) -> bool:
-        """Tell whether an engine did not answer this instance lately."""
+        """Return whether an engine recently did not answer this instance."""
         return self._silent_until.get(endpoint, now) > now
 
     def note_slowdown(self, endpoint: str, factor: float, now: float) -> None:
-        """Note how many times the published seconds an engine takes."""
+        """Record the factor on an engine's published times; 1 clears it."""
         if factor > 1:
             self._slow[endpoint] = _Slowdown(factor, now + _SLOW_SECONDS)
         else:
             self._slow.pop(endpoint, None)
 
     def find_slowdown(self, endpoint: str, now: float) -> float:
-        """Find how many times the published seconds an engine takes."""
-        known = (self._slow.get(endpoint), self._told_slow.get(endpoint))
+        """Return the largest valid factor on an engine's published times."""
+        known = (self._slow.get(endpoint), self._peer_slow.get(endpoint))
         return max(
             (item.factor for item in known if item and item.until > now),
             default=1,
         )
 
     def list_slow(self, now: float) -> dict[str, float]:
-        """List the engines that this instance knows to be slow."""
-        self._drop_outdated(now)
+        """List the engines that this instance observed to be slow."""
+        self._remove_expired(now)
         return {name: item.factor for name, item in self._slow.items()}
 
     def accept_slow(
         self,
         factors: Mapping[str, float],
-        teller: str,
+        reporter: str,
         now: float,
     ) -> None:
-        """Take in which engines a peer knows to be slow."""
-        until = now + _TOLD_SECONDS
+        """Record which engines a peer reports to be slow."""
+        until = now + _REPORT_SECONDS
         for name, factor in factors.items():
-            known = self._told_slow.get(name)
-            if known and known.until > now and known.teller < teller:
+            known = self._peer_slow.get(name)
+            if known and known.until > now and known.reporter < reporter:
                 continue
-            self._told_slow[name] = _Slowdown(factor, until, teller)
+            self._peer_slow[name] = _Slowdown(factor, until, reporter)
 
     def find_watcher(self, endpoint: str, now: float) -> str:
-        """Name the peer that asks a slow engine, the first by name of several.
+        """Return the peer that monitors a slow engine, the first by name.
 
-        It is empty when no peer does.
+        The name is empty when no peer does.
         """
-        told = self._told_slow.get(endpoint)
-        return told.teller if told and told.until > now else ''
+        reported = self._peer_slow.get(endpoint)
+        return reported.reporter if reported and reported.until > now else ''
 
-    def _drop_outdated(self, now: float) -> None:
-        """Drop what holds no more, as engines come and go by new names."""
-        self._refused_until = _keep_later(self._refused_until, now)
-        self._told_until = _keep_later(self._told_until, now)
-        self._silent_until = _keep_later(self._silent_until, now)
-        self._slow = _keep_slow(self._slow, now)
-        self._told_slow = _keep_slow(self._told_slow, now)
+    def _remove_expired(self, now: float) -> None:
+        """Remove expired observations; new engines come under new names."""
+        self._refused_until = _select_future(self._refused_until, now)
+        self._peer_refused_until = _select_future(self._peer_refused_until, now)
+        self._silent_until = _select_future(self._silent_until, now)
+        self._slow = _select_valid(self._slow, now)
+        self._peer_slow = _select_valid(self._peer_slow, now)
 
 
-def _keep_slow(
+def _select_valid(
     known: dict[str, _Slowdown],
     now: float,
 ) -> dict[str, _Slowdown]:
     return {name: item for name, item in known.items() if item.until > now}
 
 
-def _keep_later(times: dict[str, float], now: float) -> dict[str, float]:
-    """Keep the times that are still to come."""
+def _select_future(times: dict[str, float], now: float) -> dict[str, float]:
+    """Return the entries whose time is still to come."""
     return {name: until for name, until in times.items() if until > now}
--- a/src/kelproad/state/routes.py
+++ b/src/kelproad/state/routes.py
@@ -73,8 +73,8 @@
     timeout
         Seconds that a caller may be kept waiting.
     objective
-        Seconds within which an answer, or the first event of a stream, is to
-        come.
+        Seconds within which an answer, or the first event of a stream, meets
+        the objective.
     gap_objective
         Seconds between two events up to which a stream meets its objective.
     patience
@@ -188,7 +188,7 @@
         )
 
     def find_delay(self, zone: str, other: str) -> float:
-        """Return the one-way delay in seconds between two availability zones."""
+        """Return the one-way delay between two zones, in seconds."""
         if zone == other:
             return 0
         return self.zone_delays.get(
@@ -212,7 +212,7 @@
 def _add_stall_limits(
     service: RoutedService, gaps: list[float]
 ) -> RoutedService:
-    """Add the stall limits that follow from the gap objectives of the routes."""
+    """Add the stall limits that follow from the routes' gap objectives."""
     if service.engine is None:
         return service
     engine = attrs.evolve(service.engine, pauses=PauseLimits.from_gaps(gaps))
--- a/src/kelproad/state/work.py
+++ b/src/kelproad/state/work.py
@@ -1,7 +1,7 @@
-"""Work in flight at endpoints: this instance's own and that of its peers.
+"""Work in flight at endpoints, of this instance and of its peers.
 
 Reports of engines lag by hundreds of milliseconds, in which many calls arrive;
-what instances tell each other of the work they sent is newer.
+the instances' reports to each other of the work that they sent are newer.
 """
 
 import collections
@@ -12,9 +12,9 @@
 
 __all__ = ['EndpointWork', 'PeerWork', 'WorkLedger']
 
-#: Seconds without news after which the work of a peer is forgotten: its
-#: process is gone, and endpoints drop calls whose connection closes.  Peers
-#: tell at least every 0.25 s while they have work.
+#: Seconds without a report after which the work of a peer is removed: its
+#: process has exited, and endpoints drop calls whose connection closes.  Peers
+#: report at least every 0.25 s while they have work.
 FORGET_AFTER = 1.5
 
 
@@ -29,11 +29,11 @@
     context_tokens
         Prompt and answer tokens that it holds for them.
     prefill_seconds
-        Predicted seconds of prompts, or parts of prompts, yet to be read.
+        Predicted seconds of prompts, or parts of prompts, yet to be prefilled.
     helping
-        Prompts of which it reads a part for another engine.
+        Prompts of which it prefills a part for another engine.
     patient_calls
-        Calls among them whose streams may pause for long, mostly those of long
+        Calls among them with gap-tolerant streams, mostly those of long
         prompts.
     """
 
@@ -50,11 +50,11 @@
 
     @property
     def tight_calls(self) -> int:
-        """Calls whose streams may pause for a short time only."""
+        """Number of calls with gap-sensitive streams."""
         return self.calls - self.patient_calls
 
     def add(self, other: 'EndpointWork', sign: int = 1) -> None:
-        """Add the work of another record, or take it out with sign -1."""
+        """Add the work of another record, or subtract it with sign -1."""
         self.calls += sign * other.calls
         self.context_tokens += sign * other.context_tokens
         self.prefill_seconds += sign * other.prefill_seconds
@@ -64,50 +64,50 @@
 
 @attrs.frozen
 class PeerWork:
-    """What a peer last told, and when that was heard."""
+    """The last report of a peer, and the monotonic time of receipt."""
 
     by_endpoint: dict[str, EndpointWork]
     heard_at: float
 
 
 def _ignore() -> None:
-    """Take no note."""
+    """Ignore a change."""
 
 
 class WorkLedger:
-    """Who has what in flight where.
+    """Work in flight by endpoint, local and reported by peers.
 
-    The sums of what peers told are kept as it comes, so that looking one up
-    takes as long with hundreds of peers as with one.
+    Sums over the peers are updated with each report, so that a look-up takes
+    as long with hundreds of peers as with one.
     """
 
     def __init__(self) -> None:
         """Start with nothing in flight."""
         self.own: dict[str, EndpointWork] = {}
         self._peers: dict[str, PeerWork] = {}
-        #: What all peers told, summed by endpoint, and how many of them did.
-        self._told: dict[str, EndpointWork] = {}
-        self._told_by: collections.Counter[str] = collections.Counter()
-        #: No peer has been silent for too long before this time.
-        self._silent_from = math.inf
-        #: Grows with every change of the own work.
+        #: Work of all peers, summed by endpoint, and their number.
+        self._peer_sums: dict[str, EndpointWork] = {}
+        self._peer_counts: collections.Counter[str] = collections.Counter()
+        #: No peer reaches the silence timeout before this time.
+        self._next_expiry = math.inf
+        #: Number of changes of the local work.
         self.changes = 0
-        #: Is called at each of them.
+        #: Called at each of these changes.
         self.on_change: Callable[[], None] = _ignore
 
     def begin(self, endpoint: str, work: EndpointWork) -> None:
-        """Enter work that is about to be sent."""
+        """Record work that is about to be sent."""
         self.own.setdefault(endpoint, EndpointWork()).add(work)
-        self._note_change()
+        self._notify_change()
 
     def end(self, endpoint: str, work: EndpointWork) -> None:
-        """Take out work that is done or given up."""
+        """Remove work that is complete or abandoned."""
         held = self.own[endpoint]
         held.add(work, -1)
         if held.idle:
-            # Rounding must not leave a trace of seconds behind.
+            # Otherwise rounding errors of the seconds would remain.
             self.own.pop(endpoint)
-        self._note_change()
+        self._notify_change()
 
     def accept_peer(
         self,
@@ -115,7 +115,7 @@
         by_endpoint: dict[str, EndpointWork],
         now: float,
     ) -> None:
-        """Take in the whole work of a peer, in place of what it told before."""
+        """Replace the work of a peer by that of its latest report."""
         known = self._peers.get(instance)
         if known is not None and known.by_endpoint == by_endpoint:
             self._peers[instance] = PeerWork(by_endpoint, now)
@@ -124,30 +124,30 @@
         if not by_endpoint:
             return
         self._peers[instance] = PeerWork(by_endpoint, now)
-        self._silent_from = min(self._silent_from, now + FORGET_AFTER)
+        self._next_expiry = min(self._next_expiry, now + FORGET_AFTER)
         for endpoint, work in by_endpoint.items():
-            self._told.setdefault(endpoint, EndpointWork()).add(work)
-            self._told_by[endpoint] += 1
+            self._peer_sums.setdefault(endpoint, EndpointWork()).add(work)
+            self._peer_counts[endpoint] += 1
 
     def forget_peer(self, instance: str) -> None:
-        """Drop the work of a peer that has ended."""
+        """Remove the work of a peer that has exited."""
         peer = self._peers.pop(instance, None)
         if peer is None:
             return
         for endpoint, work in peer.by_endpoint.items():
-            self._told[endpoint].add(work, -1)
-            self._told_by[endpoint] -= 1
-            if not self._told_by[endpoint]:
-                # Rounding must not leave a trace of seconds behind.
-                self._told.pop(endpoint)
-                self._told_by.pop(endpoint)
+            self._peer_sums[endpoint].add(work, -1)
+            self._peer_counts[endpoint] -= 1
+            if not self._peer_counts[endpoint]:
+                # Otherwise rounding errors of the seconds would remain.
+                self._peer_sums.pop(endpoint)
+                self._peer_counts.pop(endpoint)
 
     def sum_at(self, endpoint: str, now: float) -> EndpointWork:
-        """Sum what all instances have in flight at an endpoint."""
-        if now >= self._silent_from:
-            self._forget_silent(now)
+        """Sum the work that all instances have in flight at an endpoint."""
+        if now >= self._next_expiry:
+            self._remove_silent(now)
         total = EndpointWork()
-        for works in (self.own, self._told):
+        for works in (self.own, self._peer_sums):
             work = works.get(endpoint)
             if work is not None:
                 total.add(work)
@@ -158,8 +158,8 @@
         instances: Iterable[str],
         now: float,
     ) -> dict[str, EndpointWork]:
-        """Sum what is in flight by endpoint, but for that of some peers."""
-        names = self.own.keys() | self._told.keys()
+        """Sum the work in flight by endpoint, without that of some peers."""
+        names = self.own.keys() | self._peer_sums.keys()
         sums = {name: self.sum_at(name, now) for name in names}
         for instance in instances:
             peer = self._peers.get(instance)
@@ -167,12 +167,12 @@
                 sums[name].add(work, -1)
         return {name: work for name, work in sums.items() if not work.idle}
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         self.changes += 1
         self.on_change()
 
-    def _forget_silent(self, now: float) -> None:
-        """Drop the work of peers that have been silent for too long."""
+    def _remove_silent(self, now: float) -> None:
+        """Remove the work of peers that reached the silence timeout."""
         silent = [
             name
             for name, peer in self._peers.items()
@@ -184,4 +184,4 @@
             (peer.heard_at for peer in self._peers.values()),
             default=math.inf,
         )
-        self._silent_from = oldest + FORGET_AFTER
+        self._next_expiry = oldest + FORGET_AFTER
