--- a/src/kelproad/state/budgets.py
+++ b/src/kelproad/state/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets that let a share of the requests be repeated, and no more."""
+"""Budgets that bound the share of requests that are retried."""
 
 import attrs
 
@@ -12,12 +12,12 @@
     Attributes
     ----------
     percent
-        Retries that a hundred requests earn.
+        Retries earned per hundred requests.
     burst
-        Most retries that can be saved up, and the credit at the start.
+        Maximum credit, which is also the initial credit.
     per_second
-        Retries that time earns, so that a service with few requests is not
-        left without any.
+        Retries earned per second, so that a service with few requests has some
+        too.
     """
 
     percent: float
@@ -27,11 +27,11 @@
     _credit: float = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Start with a full burst."""
+        """Start with the maximum credit."""
         self._credit = self.burst
 
     def earn(self, now: float) -> None:
-        """Count a request, or the time since the last if that earns more."""
+        """Add the credit for a request, or for the time since if it is more."""
         since = 0 if self._earned_at is None else now - self._earned_at
         self._earned_at = now
         earned = max(self.percent / 100, since * self.per_second)
@@ -43,7 +43,7 @@
         return self._credit >= 1
 
     def spend(self) -> bool:
-        """Take one retry out, if there is one."""
+        """Spend one retry; false when the credit does not cover it."""
         if not self.affords_one:
             return False
         self._credit -= 1
--- a/src/kelproad/state/limits.py
+++ b/src/kelproad/state/limits.py
@@ -1,4 +1,4 @@
-"""What workspaces use and may use here: token buckets and demand."""
+"""Use of this instance by workspaces: token buckets and demand."""
 
 import math
 
@@ -6,16 +6,18 @@
 
 __all__ = ['Demand', 'TokenBucket', 'Usage']
 
-#: Seconds over which demand is averaged.
+#: Time constant in seconds of the decay of demand.
 _DEMAND_SECONDS = 2.0
 
 
 @attrs.frozen
 class Demand:
-    """What a workspace asks of one instance, refused requests included.
+    """Load that a workspace offers to an instance, refusals included.
 
     Attributes
     ----------
+    requests, tokens
+        Requests and prompt tokens per second.
     in_flight
         Prompt tokens of its requests in progress.
     """
@@ -27,24 +29,24 @@
 
 @attrs.define
 class TokenBucket:
-    """A rate with a burst of one second; it may go into debt once.
+    """A token bucket for a burst of one second, with overdraft.
 
-    A prompt larger than the burst would never fit, so one is let through
-    whenever there is credit, and the debt delays the next ones.
+    A prompt larger than the burst would never fit, so any prompt is admitted
+    while there is credit; the debt then delays the next ones.
     """
 
     credit: float = 0
     filled_at: float = float('-inf')
 
     def fill(self, rate: float, now: float) -> None:
-        """Add the credit earned since the last time."""
+        """Add the credit earned since the last call, at most one burst."""
         burst = max(rate, 1)
         earned = (now - self.filled_at) * rate
         self.credit = min(burst, self.credit + earned)
         self.filled_at = now
 
     def wait(self, rate: float) -> float:
-        """Return the seconds until there is credit, 0 if there is."""
+        """Return the seconds until there is credit, 0 if there is any."""
         if self.credit > 0:
             return 0
         return (1 - self.credit) / rate if rate > 0 else math.inf
@@ -52,48 +54,48 @@
 
 @attrs.define
 class Usage:
-    """One workspace's use of this instance."""
+    """Use of this instance by one workspace."""
 
     requests: TokenBucket = attrs.field(factory=TokenBucket)
     tokens: TokenBucket = attrs.field(factory=TokenBucket)
     in_flight: int = 0
     in_progress: int = 0
     _finished_tokens: float = 0
-    _asked_requests: float = 0
-    _asked_tokens: float = 0
-    _asked_at: float = 0
+    _decayed_requests: float = 0
+    _decayed_tokens: float = 0
+    _decayed_at: float = 0
 
     def note_asked(self, tokens: int, now: float) -> None:
-        """Count a request into the demand, whether it is let through or not."""
+        """Add a request to the demand, whether it is admitted or not."""
         self._decay(now)
-        self._asked_requests += 1
-        self._asked_tokens += tokens
+        self._decayed_requests += 1
+        self._decayed_tokens += tokens
 
     def note_finished(self, tokens: int, now: float) -> None:
-        """Count a request that has its final answer."""
+        """Record a request that has its final answer."""
         self._decay(now)
         self._finished_tokens += tokens
 
     def wait_for(self, tokens: float, now: float) -> float:
-        """Return the seconds in which as many tokens were finished lately."""
+        """Return the seconds that as many tokens take at the recent rate."""
         self._decay(now)
         rate = self._finished_tokens / _DEMAND_SECONDS
         return tokens / rate if rate else math.inf
 
     def measure_demand(self, now: float) -> Demand:
-        """Return the present demand."""
+        """Return the demand, averaged with exponential decay."""
         self._decay(now)
         return Demand(
-            round(self._asked_requests / _DEMAND_SECONDS, 1),
-            round(self._asked_tokens / _DEMAND_SECONDS),
+            round(self._decayed_requests / _DEMAND_SECONDS, 1),
+            round(self._decayed_tokens / _DEMAND_SECONDS),
             self.in_flight,
         )
 
     def is_idle(self, demand: Demand) -> bool:
-        """Tell whether forgetting this use would change nothing.
+        """Return whether the record can be removed without effect.
 
-        A bucket in debt is remembered: a new one would start with credit, and
-        a large prompt would have cost nothing.
+        A bucket in debt is kept: a new one would start with credit, and a
+        large prompt would have cost nothing.
         """
         if (
             self.in_progress
@@ -103,8 +105,8 @@
         return not (demand.requests or demand.tokens)
 
     def _decay(self, now: float) -> None:
-        factor = math.exp((self._asked_at - now) / _DEMAND_SECONDS)
-        self._asked_requests *= factor
-        self._asked_tokens *= factor
+        factor = math.exp((self._decayed_at - now) / _DEMAND_SECONDS)
+        self._decayed_requests *= factor
+        self._decayed_tokens *= factor
         self._finished_tokens *= factor
-        self._asked_at = now
+        self._decayed_at = now
--- a/src/kelproad/state/members.py
+++ b/src/kelproad/state/members.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the other instances."""
+"""Records of the other instances, as received by this one."""
 
 import math
 from collections.abc import Iterable
@@ -9,22 +9,23 @@
 
 __all__ = ['EndpointReport', 'Member', 'MemberTable']
 
-#: Seconds without news after which a member is suspected and asked directly.
+#: Seconds without a new record after which a member is suspected and queried
+#: directly.
 SUSPECT_AFTER = 2.5
-#: Seconds without news after which a member is no longer counted as live.
+#: Seconds without a new record after which a member does not count as live.
 REMOVE_AFTER = 4.0
-#: Seconds after which the record of a dead member is dropped.  Until then its
-#: incarnation and version reject late and replayed records.
+#: Seconds without a new record after which a member's record is removed.  Until
+#: then its incarnation and version reject late and replayed records.
 FORGET_AFTER = 600.0
-#: Members of other zones of whom a zone passes on news in every period.
-_FAR_NEWS = 8
-#: Members of a zone beyond which its news take longer to come round.
+#: Members of other zones whose records a zone forwards in every period.
+_REMOTE_PER_PERIOD = 8
+#: Members of a zone above which its records take longer to reach all of them.
 _SMALL_ZONE = 8
 
 
 @attrs.frozen
 class EndpointReport:
-    """What one watcher last read from an engine, with its own age.
+    """The state that a watcher last read from an engine, and its age.
 
     Attributes
     ----------
@@ -50,43 +51,43 @@
 
 @attrs.frozen
 class Member:
-    """One instance as it describes itself.
+    """The record of an instance about itself.
 
     Attributes
     ----------
     incarnation
-        Nanoseconds of the wall clock at the instance's start; a restarted
-        instance has a higher one unless the clock was set back.
+        Wall-clock time of the instance's start in nanoseconds; a restart
+        raises it unless the clock was set back.
     version
-        Grows with every heartbeat of an incarnation.
+        Raised with every heartbeat of an incarnation.
     dispatched
         Prompt tokens that this instance has in flight, by endpoint.
     epoch
-        Raised by the instance itself when it hears of a record of its own
-        name that would be taken for a newer one.
+        Raised by the instance itself when it receives a record of its own name
+        that would count as newer than its present one.
     load_version
-        Version whose load these are (``dispatched``, ``reports``,
-        ``dispatched_by_class``, ``demand``); 0 when it was sent without,
-        ``None`` when it is the record's own version.
+        Version to which the load belongs (``dispatched``, ``reports``,
+        ``dispatched_by_class``, ``demand``); 0 when the record was sent
+        without it, ``None`` when it is the record's own version.
     left
-        The instance has ended on purpose.
+        Whether the instance has stopped on purpose.
     held
-        Seconds that the load waited at the instances that passed it on.
+        Seconds that the load waited at the instances that forwarded it.
     dispatched_by_class
-        The same for each length class.
+        ``dispatched`` by length class.
     demand
-        What the busiest workspaces ask of this instance.
+        Demand of the busiest workspaces at this instance.
     leaving
-        Endpoints that the platform has just told this instance to leave.
+        Endpoints that the platform recently asked this instance to leave.
     configuration_age
         Seconds since its revision was last confirmed, at the time of sending;
-        ``None`` while it never was.
+        ``None`` before the first confirmation.
     configuration_fault
         Why it could not read the store, empty when it could.
     pending_files
         Files whose accepted version it cannot read.
     withheld
-        Endpoints that get no new requests while their models are exchanged.
+        Endpoints that get no new requests while their models are replaced.
     """
 
     name: str
@@ -113,17 +114,17 @@
 
     @property
     def life(self) -> tuple[int, int]:
-        """Position of the instance's life among all lives under its name."""
+        """Sort key of the incarnation among all under the same name."""
         return (self.epoch, self.incarnation)
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Position of this record among all records of the same instance."""
+        """Sort key of this record among all of the same instance."""
         return (self.epoch, self.incarnation, self.version)
 
     @property
     def load_order(self) -> tuple[int, int, int]:
-        """Position of this record's load among those of the same instance."""
+        """Sort key of this record's load among those of the same instance."""
         version = self.version
         if self.load_version is not None:
             version = self.load_version
@@ -135,7 +136,7 @@
         return self.load_version != 0
 
     def without_load(self) -> 'Member':
-        """Return the heartbeat alone."""
+        """Return the heartbeat without the load."""
         return attrs.evolve(
             self,
             dispatched={},
@@ -148,65 +149,66 @@
 
 
 class MemberTable:
-    """Members by name, the newest record of each, with when it was heard.
+    """Newest record of each member by name, and the time of receipt.
 
     Parameters
     ----------
     zone
-        Zone of this instance.  News of other zones come less often, so that
-        their members may be silent for longer.
+        Zone of this instance.  Records of other zones come less often, so that
+        longer silence of their members is tolerated.
     """
 
     def __init__(self, zone: str = '') -> None:
         """Start with no members."""
         self._zone = zone
         self._members: dict[str, Member] = {}
-        self._heard: dict[str, float] = {}
-        self._load_heard: dict[str, float] = {}
-        self._far = 0
-        self._arrived: dict[str, float] = {}
-        #: Instances on the platform's list, the endpoints that it takes away,
-        #: and when it was read last.
+        #: Receipt of the newest record, moved on by pauses of this process.
+        self._received_at: dict[str, float] = {}
+        self._load_received_at: dict[str, float] = {}
+        self._remote_count = 0
+        self._heartbeat_at: dict[str, float] = {}
+        #: Instances on the platform's list, endpoints that it removes, and the
+        #: monotonic time at which it was last read.
         self.listed: frozenset[str] = frozenset()
         self.listed_leaving: frozenset[str] = frozenset()
         self.listed_at = float('-inf')
 
     def merge(self, member: Member, now: float) -> bool:
-        """Take what is newer in a record than in the one held.
+        """Merge the newer parts of a record into the present one.
 
-        Messages between instances may be doubled, late or out of order.  The
-        heartbeat and the load of a record are ordered each by itself, so an
-        older one never replaces a newer one, and any order of any records
-        ends in the same.
+        Messages between instances may be duplicated, late or out of order.
+        The heartbeat and the load of a record are ordered separately, so an
+        older one never replaces a newer one, and the result does not depend on
+        the order of receipt.
 
         Returns
         -------
         bool
-            Whether anything was newer.
+            Whether any part was newer.
         """
         held = self._members.get(member.name)
         if held is None:
             self._members[member.name] = member
-            self._heard[member.name] = now
-            self._arrived[member.name] = now
-            self._load_heard[member.name] = now
-            self._far += self._is_far(member)
+            self._received_at[member.name] = now
+            self._heartbeat_at[member.name] = now
+            self._load_received_at[member.name] = now
+            self._remote_count += self._is_remote(member)
             return True
         newer_load = member.has_load and (member.load_order > held.load_order)
         if newer_load:
-            self._load_heard[member.name] = now
+            self._load_received_at[member.name] = now
         if member.order > held.order:
-            self._heard[member.name] = now
-            self._arrived[member.name] = now
+            self._received_at[member.name] = now
+            self._heartbeat_at[member.name] = now
         elif not newer_load:
             return False
-        self._members[member.name] = _join(held, member, newer_load)
+        self._members[member.name] = _combine(held, member, newer_load)
         return True
 
     @property
     def far_interval(self) -> int:
-        """Heartbeats of which only one is passed on from zone to zone."""
-        return max(1, math.ceil(self._far / _FAR_NEWS))
+        """Heartbeats of which only one is forwarded from zone to zone."""
+        return max(1, math.ceil(self._remote_count / _REMOTE_PER_PERIOD))
 
     def note_listing(
         self,
@@ -214,105 +216,105 @@
         leaving: frozenset[str],
         now: float,
     ) -> None:
-        """Remember whom the platform lists, and which endpoints leave."""
+        """Record the platform's list of instances and leaving endpoints."""
         self.listed = names
         self.listed_leaving = leaving
         self.listed_at = now
 
     def live(self, now: float) -> list[Member]:
-        """List the members heard of recently, suspected ones included."""
-        return self._list_heard(now, 0, REMOVE_AFTER)
+        """List the live members, suspected ones included."""
+        return self._list_by_silence(now, 0, REMOVE_AFTER)
 
     def suspected(self, now: float) -> list[Member]:
-        """List the live members that have been silent for too long."""
-        return self._list_heard(now, SUSPECT_AFTER, REMOVE_AFTER)
+        """List the live members that are to be queried directly."""
+        return self._list_by_silence(now, SUSPECT_AFTER, REMOVE_AFTER)
 
     def departed(self, now: float) -> list[Member]:
-        """List the members that said lately that they were leaving."""
+        """List the members whose departure message is recent."""
         return [
             member
             for name, member in self._members.items()
-            if member.left and now - self._heard[name] <= REMOVE_AFTER
+            if member.left and now - self._received_at[name] <= REMOVE_AFTER
         ]
 
     def known(self) -> Iterable[Member]:
-        """List every member not yet forgotten, newest record each."""
+        """Return the newest record of every member not yet removed."""
         return self._members.values()
 
     def get(self, name: str) -> Member | None:
-        """Find the newest record of a member."""
+        """Find the newest record of a member, ``None`` without one."""
         return self._members.get(name)
 
     def heard_at(self, name: str) -> float:
-        """Tell when a member's newest record arrived."""
-        return self._heard[name]
+        """Return the time of receipt of a member's newest record."""
+        return self._received_at[name]
 
     def age_record(self, member: Member, now: float) -> Member:
-        """Add to a record's ages the seconds that it waited here."""
+        """Add the seconds since receipt to the configuration age."""
         if member.configuration_age is None:
             return member
-        waited = now - self._arrived[member.name]
+        waited = now - self._heartbeat_at[member.name]
         return attrs.evolve(
             member,
             configuration_age=round(member.configuration_age + waited, 1),
         )
 
     def load_heard_at(self, name: str) -> float:
-        """Tell when a member's newest load arrived."""
-        return self._load_heard[name]
+        """Return the time of receipt of a member's newest load."""
+        return self._load_received_at[name]
 
     def forget(self, now: float) -> None:
-        """Drop the records of members that have been gone for long."""
-        gone = [
+        """Remove the records of members silent for ``FORGET_AFTER``."""
+        expired = [
             name
-            for name, heard in self._heard.items()
-            if now - heard > FORGET_AFTER
+            for name, received_at in self._received_at.items()
+            if now - received_at > FORGET_AFTER
         ]
-        for name in gone:
-            self._far -= self._is_far(self._members.pop(name))
-            self._heard.pop(name)
-            self._arrived.pop(name)
-            self._load_heard.pop(name)
+        for name in expired:
+            self._remote_count -= self._is_remote(self._members.pop(name))
+            self._received_at.pop(name)
+            self._heartbeat_at.pop(name)
+            self._load_received_at.pop(name)
 
     def excuse(self, seconds: float) -> None:
-        """Leave a pause of this process out of the members' silence.
+        """Subtract a pause of this process from the members' silence.
 
-        A process that was frozen hears nobody meanwhile.  On waking it would
-        take all others for dead and itself for the only watcher of every
-        engine; the silence was its own.
+        A process that was suspended receives nothing meanwhile.  When resumed
+        it would count all others as dead and itself as the only watcher of
+        every engine.
         """
-        for name in self._heard:
-            self._heard[name] += seconds
+        for name in self._received_at:
+            self._received_at[name] += seconds
 
-    def _is_far(self, member: Member) -> bool:
+    def _is_remote(self, member: Member) -> bool:
         return bool(self._zone) and member.zone != self._zone
 
-    def _list_heard(
+    def _list_by_silence(
         self,
         now: float,
         after: float,
         until: float,
     ) -> list[Member]:
-        near = len(self._members) - self._far
-        # In a zone of 16 one and a half times as long, of 32 twice as long.
-        doublings = math.log2(max(1, near / _SMALL_ZONE))
-        near_stretch = 1 + doublings / 2
-        stretch = max(near_stretch, self.far_interval)
+        local_count = len(self._members) - self._remote_count
+        # 1.5 times as long in a zone of 16 members, twice in one of 32.
+        doublings = math.log2(max(1, local_count / _SMALL_ZONE))
+        local_factor = 1 + doublings / 2
+        remote_factor = max(local_factor, self.far_interval)
         listed = []
         for name, member in self._members.items():
-            factor = stretch if self._is_far(member) else near_stretch
-            silence = (now - self._heard[name]) / factor
+            factor = remote_factor if self._is_remote(member) else local_factor
+            silence = (now - self._received_at[name]) / factor
             if after <= silence <= until and not member.left:
                 listed.append(member)
         return listed
 
 
-def _join(held: Member, member: Member, newer_load: bool) -> Member:
-    """Build the record with the newer heartbeat and the newer load."""
+def _combine(held: Member, member: Member, newer_load: bool) -> Member:
+    """Return a record with the newer heartbeat and the newer load."""
     newest = max(held, member, key=lambda record: record.order)
     source = member if newer_load else held
     if source.life != newest.life:
-        # A new life has nothing of the old one's work in flight.
+        # A new incarnation has none of the old one's work in flight.
         return newest.without_load()
     return attrs.evolve(
         newest,
--- a/src/kelproad/state/rates.py
+++ b/src/kelproad/state/rates.py
@@ -1,4 +1,4 @@
-"""Rates learned from observations, robust to how far apart those are."""
+"""Rates learned from observations that may differ by large factors."""
 
 import math
 from typing import Self
@@ -7,11 +7,11 @@
 
 __all__ = ['FailureShare', 'LearnedRate']
 
-#: Share that one observation has once there are many.
+#: Weight of one observation once there are many.
 _WEIGHT = 0.1
-#: Share by which a rate moves to the typical one each time it fades; with two
-#: reports a second half of the difference is gone in about 30 s.
-_FADING = 0.0115
+#: Weight of the typical rate in one decay step; with two reports a second half
+#: of the difference is gone after about 30 s.
+_DECAY_WEIGHT = 0.0115
 
 
 @attrs.define
@@ -19,21 +19,21 @@
     """A geometric moving average.
 
     Ratios matter, not differences: an engine ten times slower and one ten
-    times faster must move the average alike.
+    times faster move the average equally.
 
     Attributes
     ----------
     value
         The rate, ``None`` before the first observation.
     observations
-        How many it was learned from.
+        Number of observations.
     """
 
     value: float | None = None
     observations: int = 0
 
     def observe(self, rate: float) -> None:
-        """Take in one observation."""
+        """Move the average towards one observation."""
         self.observations += 1
         if self.value is None:
             self.value = rate
@@ -41,19 +41,19 @@
         self._approach(rate, max(_WEIGHT, 1 / self.observations))
 
     def fade(self, typical: Self) -> None:
-        """Move a little towards what is typical, for want of news."""
+        """Move a little towards a typical rate, for lack of observations."""
         if self.value and typical.value:
-            self._approach(typical.value, _FADING)
+            self._approach(typical.value, _DECAY_WEIGHT)
 
     def _approach(self, rate: float, weight: float) -> None:
         self.value *= math.pow(rate / self.value, weight)
 
 
-#: Weight of one outcome in a share of failures: three failures in a row bring
+#: Weight of one outcome in a share of failures: three failures in a row raise
 #: it to 0.66, at which an endpoint gets work only when others are busy.
 _OUTCOME_WEIGHT = 0.3
-#: Seconds in which a share of failures halves for want of news, so that an
-#: endpoint which is well again is tried again.
+#: Seconds in which a share of failures halves without outcomes, so that an
+#: endpoint that has recovered is tried again.
 _HALF_LIFE = 4.0
 
 
@@ -65,11 +65,11 @@
     _updated_at: float = 0
 
     def observe(self, failed: bool, now: float) -> None:
-        """Take in how one attempt ended."""
+        """Update the share by the outcome of one attempt."""
         held = self.estimate(now)
         self._share = held + (failed - held) * _OUTCOME_WEIGHT
         self._updated_at = now
 
     def estimate(self, now: float) -> float:
-        """Return the share, from 0 to 1, faded by the time since the last."""
+        """Return the share, 0 to 1, decayed since the last outcome."""
         return self._share * 0.5 ** ((now - self._updated_at) / _HALF_LIFE)
