--- a/src/kelproad/state/calls.py
+++ b/src/kelproad/state/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the routed interface: what callers send and endpoints answer."""
+"""Calls through routes: callers' requests and endpoints' answers."""
 
 import enum
 
@@ -17,7 +17,7 @@
 
 
 class CallEnd(enum.StrEnum):
-    """How a call ended that was not refused."""
+    """The end of a call that was not refused."""
 
     ANSWERED = 'answered'
     BROKEN_OFF = 'broken off'
@@ -27,22 +27,24 @@
 
 @attrs.frozen
 class CallHead:
-    """What the head of a call says.
+    """The head of a call, decoded.
 
     Attributes
     ----------
     request_id
-        Id that the caller gave this attempt of its.
+        Id that the caller chose for this attempt.
     target
         Path and query exactly as sent.
     time_allowed
-        Seconds that the caller will wait; ``None`` when it does not say.
+        Seconds that the caller will wait; ``None`` when not given.
     prompt_tokens, answer_tokens
-        Length of the prompt, and the longest answer wanted.
+        Length of the prompt, and the maximum length of the answer.
     answer_hint
-        The caller's estimate of the answer's tokens, often far off.
+        The caller's estimate of the answer's length in tokens, often wrong by
+        a large factor.
     resume_after
-        Number of the last event that the caller has; ``None`` at the start.
+        Number of the last event that the caller has; ``None`` when it has
+        none.
     """
 
     request_id: str
@@ -58,7 +60,7 @@
 
     @property
     def path(self) -> str:
-        """The path without the query."""
+        """Target without the query."""
         path, _, _ = self.target.partition('?')
         return path
 
@@ -72,11 +74,11 @@
     service
         Name of the service that answers it.
     arrived, deadline
-        Monotonic times of its arrival and of its last permitted answer.
+        Monotonic times of its arrival and by which it must be answered.
     attempts
-        Endpoints to which it was sent so far.
+        Number of endpoints to which it was sent so far.
     end
-        How it ended, unless it was refused.
+        Outcome, unless it was refused.
     """
 
     head: CallHead
@@ -91,12 +93,12 @@
 
     @property
     def request_id(self) -> str:
-        """Id that the caller gave."""
+        """Id that the caller chose."""
         return self.head.request_id
 
     @property
     def kind(self) -> CallKind:
-        """What may be repeated of it."""
+        """Kind of its route: whether it may be repeated or streams."""
         return self.route.kind
 
     def remaining(self, now: float) -> float:
@@ -106,19 +108,19 @@
 
 @attrs.frozen
 class Forwarding:
-    """What an endpoint is told with a call.
+    """What an endpoint receives along with a call.
 
     Attributes
     ----------
     endpoint
-        Id of the endpoint that is meant; any other one is to refuse.
+        Id of the endpoint addressed; any other one must refuse the call.
     time_left
-        Seconds after which the work is of no use.
+        Seconds after which the result is useless.
     workspace
         Name of the caller's workspace; empty for anonymous calls.
     helpers
-        Addresses of engines that read parts of the prompt, each with the
-        reservation that it uses or an empty text.
+        Addresses of engines that prefill parts of the prompt, each with its
+        reservation or an empty string.
     resume_after
         Number of the last event that the caller has.
     """
@@ -131,14 +133,14 @@
 
 
 class Outcome(enum.StrEnum):
-    """How an endpoint treated a call."""
+    """Result of sending a call to an endpoint."""
 
     ANSWERED = 'answered'
-    #: It said that it did not run the call, and never will.
+    #: The endpoint states that it did not run the call and never will.
     NOT_RUN = 'not_run'
-    #: Another endpoint has its address now; the call was not run.
+    #: Another endpoint has the address now; the call was not run.
     MISDIRECTED = 'misdirected'
-    #: It answered with an error of its own; the call has run.
+    #: The endpoint answered with an error of its own; the call has run.
     ERROR = 'error'
     #: The answer belongs to another call.
     CROSSED = 'crossed'
@@ -146,16 +148,16 @@
 
 @attrs.frozen
 class AnswerHead:
-    """What the head of an endpoint's answer says.
+    """The head of an endpoint's answer, decoded.
 
     Attributes
     ----------
     at_fault
-        Address of the endpoint that caused a refusal, when it is another one.
+        Address of another endpoint that caused the refusal; empty for none.
     headers
-        Headers for the caller, those of one connection left out.
+        Headers for the caller, without those of one connection only.
     length
-        Bytes of the body, ``None`` when the answer does not say.
+        Size of the body in bytes, ``None`` when not given.
     """
 
     outcome: Outcome
--- a/src/kelproad/state/claims.py
+++ b/src/kelproad/state/claims.py
@@ -1,4 +1,7 @@
-"""Records of idempotency claims as they stand in the platform's table."""
+"""Records of idempotency claims, as stored in the platform's table.
+
+A claim is settled when its outcome is recorded: free, done or unknown.
+"""
 
 import enum
 
@@ -8,28 +11,28 @@
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of the work under a key."""
+    """State of the work under an idempotency key."""
 
-    #: Somebody may be dispatching it, now or after a pause.
+    #: Its owner may be dispatching it, now or after a pause.
     OPEN = 'open'
     #: Its owner did not dispatch it and never will; the key may be claimed.
     FREE = 'free'
     #: It ran and its answer is recorded.
     DONE = 'done'
-    #: It was dispatched and nobody knows whether it ran.
+    #: It was dispatched, and whether it ran is unknown.
     UNKNOWN = 'unknown'
 
 
 @attrs.frozen
 class RecordedAnswer:
-    """An answer as it is repeated to later callers with the same key.
+    """An answer that is replayed to later callers with the same key.
 
     Attributes
     ----------
     headers
-        Names and texts, in order.
+        Names and values, in order.
     body
-        The answer's bytes; ``None`` when they were too many to keep.
+        The answer's body; ``None`` when it was too large to store.
     """
 
     status: int
@@ -39,20 +42,20 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """The row of a key.
+    """The row of an idempotency key.
 
     Attributes
     ----------
     token
         Unique to the process and request that wrote the row, so that a writer
-        whose answer was lost recognises its own row.
+        that did not receive the store's reply recognises its own row.
     owner
         Instance and incarnation of the writer.
     request_digest
         Digest of the request; another request may not use the key.
     answer_due
         Wall-clock time, in seconds, by which the owner answers its caller.
-        It only tells later callers when to ask again: clocks differ, and a
+        It only sets when later callers should retry: clocks differ, and a
         paused owner may act after it.
     settled_at
         Wall-clock time, in seconds, of the last change of state.
--- a/src/kelproad/state/engines.py
+++ b/src/kelproad/state/engines.py
@@ -1,10 +1,10 @@
-"""How long a model engine takes, by the figures that its operator publishes.
+"""Predicted times of model engines, from figures their operator publishes.
 
-An engine works in passes.  A pass without writers reads what waits; a pass
-with writers also produces ``stride`` tokens for each of them, and no stream
-gets anything before the pass is over.  So a long prompt read in one piece
-delays the first token of its own request and stretches the pause between the
-events of every stream on that engine.
+An engine works in passes, each one iteration of its batch.  A pass prefills
+waiting prompts and, when streams are decoding, also produces ``stride`` tokens
+for each; no stream gets a token before the pass is over.  So a long prompt
+that is prefilled in one piece delays the first token of its own request and
+lengthens the gap between the events of every stream on that engine.
 """
 
 import attrs
@@ -13,10 +13,10 @@
 
 __all__ = ['EngineProfile']
 
-#: Pairs of tokens to which ``pair_seconds`` refers.
-_PAIRS = 1_000_000
-#: Tokens of context to which ``context_seconds`` refers.
-_CONTEXT = 1_000
+#: Number of token pairs to which ``pair_seconds`` refers.
+_PAIRS_PER_UNIT = 1_000_000
+#: Number of context tokens to which ``context_seconds`` refers.
+_CONTEXT_PER_UNIT = 1_000
 
 
 @attrs.frozen
@@ -26,25 +26,26 @@
     Attributes
     ----------
     slots
-        Requests that an engine works on at a time.
+        Maximum number of requests in one engine's batch.
     memory_tokens
-        Tokens of KV cache that one engine holds.
+        Size of one engine's KV cache in tokens.
     stride
-        Token steps in a pass that has writers.
+        Decode steps in a pass with decoding streams.
     step_seconds
-        Seconds of a token step.
+        Base time of a decode step.
     writer_seconds
-        Seconds that each writer adds to a step.
+        Time that each decoding stream adds to a step.
     context_seconds
-        Seconds that each thousand tokens of context add to a step.
+        Time that each thousand tokens of context add to a step.
     tokens_per_second
-        Prompt tokens read a second.
+        Prompt tokens prefilled per second.
     pair_seconds
-        Seconds for a million pairs of a prompt token and an earlier one.
+        Time for the attention of a million pairs of a prompt token and an
+        earlier one.
     hop_seconds
-        Seconds that a step takes longer when other engines hold a part.
+        Time added to a step when other engines hold a part of the prompt.
     pauses
-        How long the streams of the service may pause.
+        Stall limits of the service's streams.
     """
 
     slots: int = 8
@@ -59,25 +60,26 @@
     pauses: PauseLimits = attrs.field(factory=PauseLimits)
 
     def predict_prefill(self, tokens: int) -> float:
-        """Predict the seconds that one engine reads a whole prompt."""
+        """Predict the seconds in which one engine prefills a whole prompt."""
         pairs = tokens * tokens / 2
         return (
-            tokens / self.tokens_per_second + pairs / _PAIRS * self.pair_seconds
+            tokens / self.tokens_per_second
+            + pairs / _PAIRS_PER_UNIT * self.pair_seconds
         )
 
-    def predict_decode(self, writers: int, context: int) -> float:
-        """Predict the seconds of the token steps of one pass.
+    def predict_decode(self, streams: int, context: int) -> float:
+        """Predict the seconds of the decode steps of one pass.
 
         Parameters
         ----------
-        writers
-            Streams that the engine writes.
+        streams
+            Number of decoding streams.
         context
-            Tokens of context of all of them.
+            Tokens of context of all these streams.
         """
         step = (
             self.step_seconds
-            + writers * self.writer_seconds
-            + context / _CONTEXT * self.context_seconds
+            + streams * self.writer_seconds
+            + context / _CONTEXT_PER_UNIT * self.context_seconds
         )
         return self.stride * step
--- a/src/kelproad/state/orders.py
+++ b/src/kelproad/state/orders.py
@@ -1,4 +1,4 @@
-"""What engines are to run, and what they say they run."""
+"""Desired state of engines, their reported state, and orders to them."""
 
 import enum
 
@@ -21,7 +21,7 @@
 
 
 class ModelPhase(enum.StrEnum):
-    """How far an engine is with a model."""
+    """Progress of a model's load at an engine."""
 
     READY = 'ready'
     LOADING = 'loading'
@@ -29,7 +29,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order asks for."""
+    """Action that an order requires."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -46,7 +46,7 @@
         Seconds after which the weight store allows another fetch; above zero
         when a load failed only because of its rate limit.
     attempt
-        Number of the load, counted by the engine in its incarnation.
+        Number of the load, counted by the engine per incarnation.
     """
 
     model: str
@@ -60,14 +60,14 @@
 
 @attrs.frozen
 class EngineState:
-    """What an engine reports of itself.
+    """State of an engine as it reports it.
 
     Attributes
     ----------
     token
         Highest fencing token that the engine has seen.
     running
-        Streams that it has not ended.
+        Number of its streams that have not ended.
     """
 
     incarnation: str
@@ -79,14 +79,14 @@
 
 @attrs.frozen
 class DesiredModel:
-    """A model that an engine is to serve.
+    """A model that an engine should serve.
 
     Attributes
     ----------
     version
-        Version wanted; empty for whichever is there.
+        Required version; empty for any that is loaded.
     generation
-        Revision of the file that wants it.
+        Revision of the file that declares the model.
     """
 
     model: str
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class DesiredState:
-    """What one engine is to run."""
+    """Models that one engine should serve."""
 
     endpoint: str
     address: str
@@ -108,14 +108,14 @@
 
 @attrs.frozen
 class Order:
-    """An order to an engine: a state to be in, so that repeating is harmless.
+    """An order to an engine, idempotent as it states the desired state.
 
     Attributes
     ----------
     token
-        Fencing token of the holder that gives it.
+        Fencing token of the lease holder that sends it.
     generation
-        Revision that wants it.
+        Revision that requires it.
     """
 
     kind: OrderKind
@@ -128,20 +128,20 @@
 
 
 def derive_desired(snapshot: Snapshot, zone: str) -> dict[str, DesiredState]:
-    """Derive what each managed engine of a zone is to run."""
-    wanted: dict[str, list[DesiredModel]] = {}
+    """Derive the desired state of each managed engine of a zone."""
+    desired: dict[str, list[DesiredModel]] = {}
     for applied in snapshot.files.values():
         for service in applied.content.services if applied.content else ():
             if service.model:
-                model = _want(service, applied.revision)
+                model = _desire(service, applied.revision)
                 for name in service.endpoint_groups:
-                    wanted.setdefault(name, []).append(model)
+                    desired.setdefault(name, []).append(model)
     return {
         endpoint.name: DesiredState(
             endpoint.name,
             endpoint.address,
             group,
-            wanted.get(group.name, []),
+            desired.get(group.name, []),
             snapshot.revision,
         )
         for group in snapshot.groups.values()
@@ -152,14 +152,14 @@
 
 
 def find_model(state: EngineState, model: str) -> ModelState | None:
-    """Find a model in what an engine reports."""
+    """Find a model in an engine's reported state."""
     for item in state.models:
         if item.model == model:
             return item
     return None
 
 
-def _want(service: Service, revision: int) -> DesiredModel:
+def _desire(service: Service, revision: int) -> DesiredModel:
     return DesiredModel(
         service.model,
         service.version,
--- a/src/kelproad/state/pauses.py
+++ b/src/kelproad/state/pauses.py
@@ -1,4 +1,9 @@
-"""How long the streams of a service may pause, by what its routes aim at."""
+"""Limits on stalls of a service's streams, from its routes' objectives.
+
+A stream stalls while a pass of its engine takes long.  A gap-tolerant stream
+belongs to a route that permits much longer gaps between events than the
+strictest route of the service; the others are gap-sensitive.
+"""
 
 import math
 from collections.abc import Iterable
@@ -8,47 +13,47 @@
 
 __all__ = ['PauseLimits']
 
-#: Share of the pause that routes aim at which a pass may take; the rest is for
-#: work that is sent to the engine meanwhile without being known here.
+#: Share of the gap objective that a pass may take; the rest is for work that is
+#: sent to the engine meanwhile and that this instance does not know of.
 _PASS_SHARE = 0.83
-#: Times the shortest pause from which on the streams of a route count as
-#: patient.
-_PATIENT_RATIO = 2.0
+#: Ratio to the shortest gap objective from which on the streams of a route
+#: count as gap-tolerant.
+_TOLERANT_RATIO = 2.0
 
 
 @attrs.frozen
 class PauseLimits:
-    """Seconds that a pass may take before streams count as paused too long.
+    """Maximum seconds of a pass, by the streams that it stalls.
 
     Attributes
     ----------
     tight
-        Seconds beside any stream.
+        Maximum while any gap-sensitive stream is decoding.
     loose
-        Seconds beside streams of patient routes only.
-    patient_gap
-        Pause between events in seconds that a patient route permits at least.
+        Maximum while all decoding streams are gap-tolerant.
+    tolerant_gap
+        Smallest gap objective in seconds of a gap-tolerant route.
     """
 
     tight: float = math.inf
     loose: float = math.inf
-    patient_gap: float = math.inf
+    tolerant_gap: float = math.inf
 
     @classmethod
     def from_gaps(cls, gaps: Iterable[float]) -> Self:
-        """Derive the limits from the pauses that the routes permit."""
+        """Derive the limits from the gap objectives of the routes."""
         ordered = sorted(gaps)
         shortest = ordered[0] if ordered else math.inf
-        patient = min(
-            (gap for gap in ordered if gap >= shortest * _PATIENT_RATIO),
+        tolerant = min(
+            (gap for gap in ordered if gap >= shortest * _TOLERANT_RATIO),
             default=shortest,
         )
         return cls(
             tight=shortest * _PASS_SHARE,
-            loose=patient * _PASS_SHARE,
-            patient_gap=patient if patient > shortest else math.inf,
+            loose=tolerant * _PASS_SHARE,
+            tolerant_gap=tolerant if tolerant > shortest else math.inf,
         )
 
     def is_patient(self, gap_objective: float) -> bool:
-        """Tell whether a stream may pause for as long as a part is read."""
-        return gap_objective >= self.patient_gap
+        """Return whether streams with this gap objective are gap-tolerant."""
+        return gap_objective >= self.tolerant_gap
--- a/src/kelproad/state/prefixes.py
+++ b/src/kelproad/state/prefixes.py
@@ -1,4 +1,4 @@
-"""Which endpoint computed which prompt prefixes, by this instance's history."""
+"""Endpoints that computed each prompt prefix, by this instance's requests."""
 
 import collections
 import hashlib
@@ -7,18 +7,18 @@
 
 __all__ = ['PrefixHistory', 'digest_prefix']
 
-#: Lengths, in tokens, of the prefixes that are told apart.
+#: Lengths, in tokens, of the prefixes that are digested.
 _LENGTHS = (1024, 2048, 4096, 8192, 16_384, 32_768, 65_536)
 _DIGEST_BYTES = 8
-#: Prefixes remembered; the least recently used are forgotten first.
-_REMEMBERED = 20_000
-#: Endpoints remembered for one prefix.
-_ENDPOINTS_EACH = 3
+#: Maximum number of prefixes; the least recently used are dropped first.
+_MAX_PREFIXES = 20_000
+#: Maximum number of endpoints for one prefix.
+_MAX_ENDPOINTS = 3
 
 
 @attrs.frozen
 class _Evidence:
-    """That an endpoint computed a prefix, and how much it did before."""
+    """The endpoint's count of computed tokens when it computed a prefix."""
 
     incarnation: str
     computed_tokens: int
@@ -28,9 +28,9 @@
     prompt: memoryview,
     bytes_per_token: float,
 ) -> tuple[bytes, ...]:
-    """Digest the beginnings of a prompt, each twice as long as the last.
+    """Digest prefixes of a prompt, each twice as long as the one before.
 
-    No copy of the prompt is made, and at most 65,536 tokens are read.
+    The prompt is not copied, and at most 65,536 tokens are digested.
     """
     running = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     digests = []
@@ -46,7 +46,7 @@
 
 
 class PrefixHistory:
-    """Bounded memory of prefixes and the endpoints that computed them."""
+    """Bounded record of prefixes and the endpoints that computed them."""
 
     def __init__(self) -> None:
         """Start with no history."""
@@ -62,20 +62,20 @@
         incarnation: str,
         computed_tokens: int,
     ) -> None:
-        """Note that an endpoint has computed the prefixes of a prompt."""
+        """Record that an endpoint has computed the prefixes of a prompt."""
         evidence = _Evidence(incarnation, computed_tokens)
         for digest in digests:
             known = self._endpoints.setdefault(digest, {})
             known.pop(endpoint, None)
             known[endpoint] = evidence
-            if len(known) > _ENDPOINTS_EACH:
+            if len(known) > _MAX_ENDPOINTS:
                 known.pop(next(iter(known)))
             self._endpoints.move_to_end(digest)
-        while len(self._endpoints) > _REMEMBERED:
+        while len(self._endpoints) > _MAX_PREFIXES:
             self._endpoints.popitem(last=False)
 
     def list_endpoints(self, digests: tuple[bytes, ...]) -> list[str]:
-        """List the endpoints that computed a prompt's longest known prefix."""
+        """List the endpoints that computed the longest recorded prefix."""
         for digest in reversed(digests):
             known = self._endpoints.get(digest)
             if known is not None:
@@ -89,15 +89,15 @@
         incarnation: str,
         oldest: int,
     ) -> int:
-        """Count the tokens of a prompt that an endpoint should still hold.
+        """Count the tokens of a prompt that an endpoint should have cached.
 
         Parameters
         ----------
         incarnation
-            The engine's present life; a restart empties its cache.
+            Present incarnation of the engine; a restart empties its cache.
         oldest
-            Value of the endpoint's count of computed tokens before which
-            everything is taken for evicted.
+            Value of the endpoint's count of computed tokens; prefixes computed
+            before it count as evicted.
         """
         held = 0
         for digest, length in zip(digests, _LENGTHS, strict=False):
--- a/src/kelproad/state/requests.py
+++ b/src/kelproad/state/requests.py
@@ -1,4 +1,4 @@
-"""Requests in progress, and the recent decisions about them."""
+"""Requests in progress, and the decisions about recent ones."""
 
 import collections
 import enum
@@ -19,12 +19,12 @@
     'RequestTable',
 ]
 
-#: Number of ended requests that ``explain`` can still tell about.
+#: Number of requests, oldest dropped first, that ``explain`` covers.
 DECISIONS_KEPT = 2000
 
 
 class Phase(enum.StrEnum):
-    """How far a request has come."""
+    """Stage of a request's processing."""
 
     ADMITTED = 'admitted'
     DISPATCHED = 'dispatched'
@@ -34,15 +34,15 @@
 
 @attrs.frozen
 class Parts:
-    """A prompt cut up, because no engine could hold it whole.
+    """A prompt in parts, because it exceeds the memory of any engine.
 
     Attributes
     ----------
     heading
-        What stands before the records, such as instructions; it is repeated
-        in every part.
+        Text before the records, such as instructions; it is repeated in every
+        part.
     records
-        Runs of whole records, each of which fits into one part.
+        Sequences of complete records, one sequence per part.
     """
 
     heading: str
@@ -62,11 +62,11 @@
     attempts
         Number of dispatches so far.
     prefix
-        Digests of the prompt's beginnings, each twice as long as the last.
+        Digests of prefixes of the prompt, each twice as long as the one before.
     ran
         Whether any dispatch so far was, or may have been, executed.
     parts
-        The prompt in parts, if it is to be answered so.
+        The split prompt, if it is to be answered in parts.
     """
 
     request_id: str
@@ -85,24 +85,24 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether work that may have run may be dispatched once more."""
+        """Whether work that may have run may be dispatched again."""
         return self.service.may_repeat and not self.idempotency_key
 
     def next_attempt_id(self) -> str:
-        """Give a new dispatch an id that no other one has."""
+        """Return a unique id for a new dispatch."""
         self.attempts += 1
         return f'{self.request_id}-{self.attempts}'
 
     def note_ran(self, ran: Ran) -> None:
-        """Take in whether a dispatch that failed was executed."""
+        """Record whether a failed dispatch was executed."""
         if self.ran is not Ran.YES and ran is not Ran.NO:
             self.ran = ran
 
     def complete_refusal(self, refusal: Refusal) -> Refusal:
-        """Let a refusal speak for all dispatches, not only for the last.
+        """Make a refusal cover all dispatches, not only the last one.
 
-        A repeatable request may run at one endpoint, lose its answer and be
-        refused unrun by the next one; it may have run all the same.
+        A repeatable request may run at one endpoint, lose its answer and then
+        be refused by another endpoint that did not run it.
         """
         self.note_ran(refusal.ran)
         return attrs.evolve(refusal, ran=self.ran)
@@ -114,7 +114,7 @@
 
 @attrs.define
 class Decision:
-    """Why a request went where it went, or was refused."""
+    """The steps that led to a request's endpoint or refusal."""
 
     request_id: str
     workspace: str
@@ -124,7 +124,7 @@
 
     @classmethod
     def from_request(cls, request: Request) -> Self:
-        """Open the record of a request."""
+        """Create the record of a request, without steps."""
         return cls(
             request_id=request.request_id,
             workspace=request.workspace.name,
@@ -133,12 +133,12 @@
         )
 
     def note(self, event: str, /, **details: object) -> None:
-        """Add what happened, with whatever explains it."""
+        """Add a step: an event and the details that explain it."""
         self.steps.append({'event': event, **details})
 
 
 class DecisionLog:
-    """The last decisions, oldest dropped first."""
+    """Bounded log of decisions; the oldest are dropped first."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -147,7 +147,7 @@
         )
 
     def open(self, decision: Decision) -> None:
-        """Remember a decision from now on."""
+        """Add a decision; its later steps are kept too."""
         self._decisions[decision.request_id] = decision
         while len(self._decisions) > DECISIONS_KEPT:
             self._decisions.popitem(last=False)
@@ -169,11 +169,11 @@
         return len(self._requests)
 
     def add(self, request: Request) -> None:
-        """Enter a request that was admitted."""
+        """Add a request that was admitted."""
         self._requests[request.request_id] = request
 
     def remove(self, request: Request) -> None:
-        """Drop a request that has its final answer."""
+        """Mark a request as ended and remove it."""
         request.phase = Phase.ENDED
         self._requests.pop(request.request_id, None)
 
