--- a/src/kelproad/state/buffers.py
+++ b/src/kelproad/state/buffers.py
@@ -1,15 +1,15 @@
-"""Memory for answers that are kept while they are made, with a bound."""
+"""Bounded memory for answers that are buffered while they arrive."""
 
 import weakref
 
 __all__ = ['EVENT_OVERHEAD', 'BufferBudget', 'Reservation']
 
-#: What a kept event costs beside its bytes: the object and its place.
+#: Bytes that a buffered event takes beside its data: the object and its slot.
 EVENT_OVERHEAD = 64
 
 
 class BufferBudget:
-    """Bytes that the answers of this process may take together."""
+    """Bound in bytes on all buffered answers of this process."""
 
     def __init__(self, limit: int, answer_limit: int) -> None:
         """Allow ``limit`` bytes, of which one answer gets ``answer_limit``."""
@@ -18,10 +18,10 @@
         self.used = 0
 
     def reserve_for(self, holder: object) -> 'Reservation':
-        """Open a reservation that ends with its holder at the latest.
+        """Open a reservation that is released with its holder at the latest.
 
-        A handler may be cancelled at any wait, and then nobody would give the
-        bytes back; the end of the holder's life is a path that none skips.
+        A handler may be cancelled at any await and then not release the bytes;
+        the finalizer of the holder always does.
         """
         reservation = Reservation(self)
         weakref.finalize(holder, reservation.release)
@@ -29,20 +29,20 @@
 
 
 class Reservation:
-    """Bytes that one answer has taken."""
+    """Bytes reserved for one answer."""
 
     def __init__(self, budget: BufferBudget) -> None:
-        """Start with none."""
+        """Start with no bytes."""
         self._budget = budget
         self.size = 0
 
     def fits_answer(self, size: int) -> bool:
-        """Tell whether one more event stays within the answer's own bound."""
+        """Return whether one more event stays within the answer's bound."""
         whole = self.size + size + EVENT_OVERHEAD
         return whole <= self._budget.answer_limit
 
     def take(self, size: int) -> bool:
-        """Take bytes for one more event; false when a bound is reached."""
+        """Reserve bytes for one more event; false when a bound is reached."""
         whole = size + EVENT_OVERHEAD
         fits_all = self._budget.used + whole <= self._budget.limit
         if not (fits_all and self.fits_answer(size)):
@@ -52,6 +52,6 @@
         return True
 
     def release(self) -> None:
-        """Give everything back; doing it again changes nothing."""
+        """Release all bytes; may be called repeatedly."""
         self._budget.used -= self.size
         self.size = 0
--- a/src/kelproad/state/calls.py
+++ b/src/kelproad/state/calls.py
@@ -98,7 +98,7 @@
 
     @property
     def kind(self) -> CallKind:
-        """Kind of its route: whether it may be repeated or streams."""
+        """Kind of its route, which determines whether it may be repeated."""
         return self.route.kind
 
     def remaining(self, now: float) -> float:
--- a/src/kelproad/state/claims.py
+++ b/src/kelproad/state/claims.py
@@ -13,7 +13,7 @@
 class ClaimState(enum.StrEnum):
     """State of the work under an idempotency key."""
 
-    #: Its owner may be dispatching it, now or after a pause.
+    #: A request may be dispatching it, now or after a pause.
     OPEN = 'open'
     #: Its owner did not dispatch it and never will; the key may be claimed.
     FREE = 'free'
--- a/src/kelproad/state/configuration.py
+++ b/src/kelproad/state/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration in force: accepted files, and the snapshot they make.
+"""The configuration in force: accepted files, and the snapshot of them.
 
 An operator's file is the unit of change.  A snapshot is the union of all
-files at one revision; it is immutable, so a request keeps the one that
+files at one revision; it is immutable, so a request keeps the snapshot that
 admitted it until the request ends.
 """
 
@@ -30,10 +30,10 @@
 
 @attrs.frozen
 class AppliedFile:
-    """A file as accepted, with the generation and revision it got.
+    """An accepted file, with the generation and revision assigned to it.
 
-    A removed file stays as one without text or content, so that instances
-    that are behind hear of the removal.
+    A removed file is kept without text and content, so that instances that are
+    behind receive the removal.
     """
 
     name: str
@@ -46,9 +46,9 @@
 
 @attrs.frozen
 class PendingFile:
-    """An accepted version of a file that cannot be put in force here.
+    """An accepted version of a file that this instance cannot read.
 
-    The file keeps the version that was in force before, if there was one.
+    The previous version of the file, if there is one, stays in force.
     """
 
     name: str
@@ -65,7 +65,7 @@
     Attributes
     ----------
     pending
-        By name, files whose accepted version could not be read here.
+        Files whose accepted version could not be read here, by name.
     """
 
     revision: int
@@ -85,7 +85,7 @@
         files: dict[str, AppliedFile],
         pending: dict[str, PendingFile] | None = None,
     ) -> Self:
-        """Index the declarations of all files."""
+        """Build a snapshot by indexing the declarations of all files."""
         contents = [
             applied.content for applied in files.values() if applied.content
         ]
@@ -128,7 +128,7 @@
 
     @classmethod
     def empty(cls) -> Self:
-        """Build the snapshot of an instance that has adopted nothing yet."""
+        """Build the snapshot of an instance that has adopted none yet."""
         return cls.from_files(0, {})
 
     def contents(self) -> dict[str, FileContent]:
@@ -140,7 +140,7 @@
         }
 
     def accepted_generation(self, name: str) -> int:
-        """Return the newest generation accepted of a file, 0 for none."""
+        """Return the newest accepted generation of a file, 0 for none."""
         held = self.files.get(name)
         waiting = self.pending.get(name)
         return max(
@@ -149,7 +149,7 @@
         )
 
     def groups_of(self, service: Service) -> list[EndpointGroup]:
-        """List the endpoint groups behind a service.
+        """List the endpoint groups of a service.
 
         A group can be missing only while its file is pending; the service
         then has fewer endpoints, or none, until the file can be read.
@@ -166,7 +166,7 @@
     offered: list[AppliedFile | PendingFile],
     revision: int,
 ) -> Snapshot:
-    """Lay newer versions of files over a snapshot."""
+    """Build a snapshot from a base and newer versions of its files."""
     files = dict(base.files)
     pending = dict(base.pending)
     for item in offered:
@@ -188,16 +188,16 @@
     """The snapshot in force in this process."""
 
     def __init__(self) -> None:
-        """Start with nothing adopted."""
+        """Start with an empty snapshot."""
         self.current = Snapshot.empty()
 
     def adopt(self, snapshot: Snapshot) -> bool:
         """Put a newer snapshot in force; refuse an older or equal one.
 
-        A late message, a slow store reply or a peer that was cut off may offer
-        a revision that is not above the one in force.  Adopting it would
-        revert an accepted configuration, so only a higher one is taken, or
-        the same one with fewer files pending.
+        A late message, a slow store reply or a peer that was disconnected may
+        offer a revision not above the one in force.  Adopting it would revert
+        an accepted configuration, so only a higher one is accepted, or the
+        same one with fewer files pending.
         """
         current = self.current
         completes = len(snapshot.pending) < len(current.pending)
@@ -218,7 +218,7 @@
 
 
 def _keeps_generations(current: Snapshot, following: Snapshot) -> bool:
-    """Tell whether no file disappears or goes back to an older version."""
+    """Return whether no file is lost or reverts to an older generation."""
     return following.revision >= current.revision and all(
         name in following.files
         and following.files[name].generation >= held.generation
--- a/src/kelproad/state/context.py
+++ b/src/kelproad/state/context.py
@@ -1,11 +1,11 @@
-"""Which request the running task works for, for log lines and reports."""
+"""The request that the running task works for, for logs and reports."""
 
 import contextvars
 
 __all__ = ['current_request']
 
-#: Id of the request in whose task the code runs, empty outside of one.  A task
-#: started from another inherits it.
+#: Id of the request whose task is running, empty outside of one.  A task
+#: inherits it from the task that starts it.
 current_request: contextvars.ContextVar[str] = contextvars.ContextVar(
     'current_request',
     default='',
--- a/src/kelproad/state/counters.py
+++ b/src/kelproad/state/counters.py
@@ -1,20 +1,19 @@
-"""Counters of this process, kept in one registry.
+"""Metrics of this process, in one registry.
 
-Counters come before log lines: what happens often is counted here and only a
-change of state is logged.
+Frequent events are counted here; only changes of state are logged.
 """
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 
 __all__ = ['Counters', 'Latencies']
 
-#: Upper bounds in seconds: the objectives of the sites lie between 0.2 and 3,
-#: deadlines at 10 and 15.
+#: Upper bounds of the histograms in seconds: the objectives of the sites are
+#: between 0.2 and 3, deadlines 10 and 15.
 _BUCKETS = (0.05, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 2.5, 5, 10, 15)
 
 
 class Latencies:
-    """How long callers wait, as histograms by service."""
+    """Histograms of the time that callers wait, by service."""
 
     def __init__(self, registry: Registry) -> None:
         """Register the histograms."""
@@ -52,15 +51,15 @@
         )
         self.events_dropped = self._counter(
             'kelproad_events_dropped_total',
-            'Stream events not passed on, by reason.',
+            'Stream events not forwarded, by reason.',
         )
         self.streams_resumed = self._counter(
             'kelproad_streams_resumed_total',
-            'Broken streams taken up again, by way.',
+            'Broken streams that were resumed, by way of resuming.',
         )
         self.streams_broken = self._counter(
             'kelproad_streams_broken_total',
-            'Connections of engines that did not bring the end, by ending.',
+            'Engine connections that ended before the answer, by ending.',
         )
         self.claims = self._counter(
             'kelproad_claims_total',
@@ -100,15 +99,15 @@
         )
         self.lease_writes = self._counter(
             'kelproad_lease_writes_total',
-            'Writes of the lease of the orders of a zone.',
+            'Writes of the lease for the orders of a zone.',
         )
         self.retries = self._counter(
             'kelproad_retries_total',
-            'Failed attempts that might be repeated, by what was decided.',
+            'Failed attempts that could be retried, by decision.',
         )
         self.ejections = self._counter(
             'kelproad_ejections_total',
-            'Failing endpoints taken out, or left in as too many were out.',
+            'Failing endpoints ejected, or kept as too many were ejected.',
         )
         self.limited = self._counter(
             'kelproad_limited_total',
@@ -120,7 +119,7 @@
         )
         self.claims_unsettled = self._gauge(
             'kelproad_claims_unsettled',
-            'Claims whose outcome the platform does not have yet.',
+            'Claims whose outcome is not yet stored in the platform.',
         )
         self.latencies = Latencies(self.registry)
         self.in_progress = self._gauge(
--- a/src/kelproad/state/declarations.py
+++ b/src/kelproad/state/declarations.py
@@ -1,7 +1,7 @@
-"""What operators declare: services, workspaces, endpoints, the deployment.
+"""Declarations of operators: services, workspaces, endpoints, deployment.
 
-These are the records that an operator's file is read into.  They are
-immutable and say nothing of how or when they came into force.
+An operator's file is parsed into these records.  They are immutable and do not
+contain how or when they came into force.
 """
 
 import enum
@@ -29,35 +29,35 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind a service."""
+    """Kind of the endpoints that serve a service."""
 
     MODEL = 'model'
     PLAIN = 'plain'
 
 
 class EndpointKind(enum.StrEnum):
-    """What an endpoint speaks."""
+    """Protocol of an endpoint: that of model engines, or plain HTTP."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
 
 
 class Delivery(enum.StrEnum):
-    """How an answer reaches the caller."""
+    """Whether an answer is forwarded as a stream or when it is complete."""
 
     STREAM = 'stream'
     WHOLE = 'whole'
 
 
 class Fencing(enum.StrEnum):
-    """What an engine does with an order that has an old fencing token."""
+    """Treatment of orders with an old fencing token by an engine."""
 
     ENFORCED = 'enforced'
     IGNORED = 'ignored'
 
 
 class EngineRole(enum.StrEnum):
-    """Which part of a request an engine computes."""
+    """Phases of a request that an engine computes."""
 
     BOTH = 'both'
     PREFILL = 'prefill'
@@ -65,9 +65,9 @@
 
 
 class Policy(enum.StrEnum):
-    """How an endpoint is chosen; all but ``predicted`` are baselines.
+    """Policy of choosing an endpoint; all but ``predicted`` are baselines.
 
-    The first three do what plain proxies do and send no priorities.
+    The first three behave like plain proxies and send no priorities.
     """
 
     ROUND_ROBIN = 'round_robin'
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class Deadline:
-    """Bounds on a request's time, in seconds."""
+    """Default and maximum seconds that a request may take."""
 
     default: float = 60.0
     maximum: float = 600.0
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class Objective:
-    """Relative weights of the two measures that routing trades.
+    """Relative weights of the two measures that routing trades off.
 
     Attributes
     ----------
@@ -103,12 +103,12 @@
 
 @attrs.frozen
 class Deployment:
-    """What holds for the whole site.
+    """Declarations for the whole site.
 
     Attributes
     ----------
     retry_budget_percent
-        Retries that an instance allows for a hundred requests of a service.
+        Retries that an instance allows per hundred requests of a service.
     """
 
     name: str
@@ -120,23 +120,23 @@
 
 @attrs.frozen
 class Segmenting:
-    """How a prompt larger than any engine's memory is answered in parts.
+    """Settings for answering a prompt in parts that exceeds any engine.
 
     Attributes
     ----------
     tokens
         Estimated tokens of a part, its heading included.
     combine
-        Prompt that turns the parts' answers, which follow it, into one.
+        Prompt for combining the parts' answers, which follow it, into one.
     boundary
-        Text between records; a prompt is cut only there.
+        Separator of records; a prompt is split only there.
     heading_end
-        Text that ends what stands before the records and is repeated in every
-        part; empty when there is no heading.
+        Text that ends the heading, which precedes the records and is repeated
+        in every part; empty when there is no heading.
     answer_tokens
-        Bound on the answer to a part.
+        Maximum tokens of the answer to a part.
     most_parts, parallel
-        Bounds on the parts of a prompt and on those answered at a time.
+        Maximum number of parts of a prompt, and of those answered at a time.
     """
 
     tokens: int
@@ -150,7 +150,7 @@
 
 @attrs.frozen
 class Service:
-    """Something that callers ask for by name.
+    """A service, which callers request by name.
 
     Attributes
     ----------
@@ -159,16 +159,17 @@
     model
         Model that the engines must serve; empty for plain services.
     version
-        Version of the model that the engines are to run; empty for any.
+        Version of the model that the engines should serve; empty for any.
     idempotent
-        Whether a call may be repeated; left out, a model service's may and a
+        Whether a call may be repeated; by default a model service's may and a
         plain service's may not.  GET and HEAD always may.
     bytes_per_token
         Divisor of the prompt-length estimate for this model.
     segments
-        How larger prompts are answered in parts; left out, they are refused.
+        Settings for answering larger prompts in parts; without them such
+        prompts are refused.
     adapters
-        Adapters that the engines are to hold with the model.
+        Adapters that the engines should load with the model.
     """
 
     name: str
@@ -227,10 +228,10 @@
     Attributes
     ----------
     incarnation
-        Changes when the endpoint is known to have started again; empty where
-        nothing tells.
+        Changes when the endpoint is known to have restarted; empty where
+        unknown.
     slots
-        Calls that it works on at a time, 0 where that is not known.
+        Maximum number of concurrent calls, 0 where unknown.
     """
 
     name: str
@@ -243,28 +244,28 @@
 
 @attrs.frozen
 class EndpointGroup:
-    """Endpoints that are alike.
+    """Interchangeable endpoints with common properties.
 
     Attributes
     ----------
     honours_priorities
         Whether the engines schedule by the priority that is sent to them.
     memory_tokens
-        Tokens of KV cache that one engine holds; the largest prompt it can
+        Size of one engine's KV cache in tokens; the largest prompt that it can
         serve.
     managed
-        Whether the engines are ordered to run what the services declare.
+        Whether the engines get orders to load the models of the services.
     role
-        Role that managed engines are to have.
+        Role that managed engines should have.
     max_loading
         Managed engines of a zone that may be drained or loading at once.
     prefill_tokens_per_second
         Rate assumed until one is learned.
     cache_tokens
-        Tokens of computed prefixes that one engine keeps.
+        Size of one engine's cache of computed prefixes in tokens.
     honours_continuation
-        Whether the engines go on behind the text that comes with a request,
-        so that an answer another engine broke off can be continued.
+        Whether the engines continue the text that comes with a request, so
+        that an answer truncated at another engine can be completed.
     """
 
     name: str
@@ -283,7 +284,7 @@
 
 @attrs.frozen
 class FileContent:
-    """What one operator's file declares."""
+    """Declarations of one operator's file."""
 
     name: str
     deployment: Deployment | None = None
--- a/src/kelproad/state/holdings.py
+++ b/src/kelproad/state/holdings.py
@@ -1,4 +1,4 @@
-"""What engines hold in memory: as recorded here, and as they list it."""
+"""Holdings: memory that engines keep, as recorded here and as they list it."""
 
 import attrs
 
@@ -6,24 +6,25 @@
 
 __all__ = ['STREAM', 'HeldItem', 'Holding', 'HoldingTable']
 
-#: Kind of a holding that comes from a dispatched attempt.
+#: Kind of the holding of a dispatched attempt.
 STREAM = 'stream'
 
 
 @attrs.frozen
 class HeldItem:
-    """Something that an engine says it keeps on somebody's behalf.
+    """Memory that an engine reports to keep for an owner.
 
     Attributes
     ----------
     kind
         ``stream``, ``export`` or ``pin``.
     owner
-        Instance and incarnation that answer for it.
+        Instance and incarnation responsible for it.
     remaining
         Seconds until the deadline that came with it, negative if past.
     attached
-        Whether a connection reads it; ``None`` when the engine does not say.
+        Whether a connection reads it; ``None`` if the engine does not report
+        it.
     """
 
     kind: str
@@ -36,12 +37,12 @@
 
 @attrs.frozen
 class Holding:
-    """What this process makes an engine hold.
+    """Memory that an engine keeps for this process.
 
     Attributes
     ----------
     deadline
-        Monotonic time until which it is wanted.
+        Monotonic time until which it is needed.
     """
 
     url: str
@@ -52,22 +53,22 @@
 
 
 class HoldingTable:
-    """Everything that this process makes engines hold.
+    """All holdings of this process.
 
-    An entry is made before the dispatch, so that there is no moment at which
-    an engine holds something that nobody here knows of.
+    A holding is added before its dispatch, so that no engine ever keeps memory
+    for this process without a record here.
     """
 
     def __init__(self) -> None:
-        """Start with nothing held."""
+        """Start with no holdings."""
         self._holdings: dict[str, Holding] = {}
 
     def __len__(self) -> int:
-        """Count what is held."""
+        """Count the holdings."""
         return len(self._holdings)
 
     def add(self, holding: Holding) -> None:
-        """Enter a holding before it is made."""
+        """Add a holding before its dispatch."""
         invariants.check(
             holding.item_id not in self._holdings,
             'attempt_is_dispatched_once',
@@ -76,7 +77,7 @@
         self._holdings[holding.item_id] = holding
 
     def remove(self, item_id: str) -> None:
-        """Drop a holding that the engine no longer has."""
+        """Remove a holding that the engine no longer keeps, if recorded."""
         self._holdings.pop(item_id, None)
 
     def get(self, item_id: str) -> Holding | None:
@@ -84,5 +85,5 @@
         return self._holdings.get(item_id)
 
     def all(self) -> list[Holding]:
-        """List what is held."""
+        """List the holdings."""
         return list(self._holdings.values())
--- a/src/kelproad/state/identity.py
+++ b/src/kelproad/state/identity.py
@@ -1,4 +1,4 @@
-"""Who this process is."""
+"""Identity of this process and the ids derived from it."""
 
 import itertools
 import time
@@ -11,13 +11,13 @@
 
 @attrs.define
 class Identity:
-    """Name, zone and incarnation of this process, and the ids it gives out.
+    """Name, zone and incarnation of this process, and its request ids.
 
     Attributes
     ----------
     incarnation
-        Nanoseconds of the wall clock at the start.  A restarted process has a
-        higher one, so ids of two lives of an instance never collide.
+        Wall-clock time of the start in nanoseconds.  A restarted process has a
+        higher one, so ids of two incarnations never collide.
     """
 
     instance: str
@@ -27,14 +27,14 @@
 
     @classmethod
     def from_start(cls, instance: str, zone: str) -> Self:
-        """Take the present moment as the start of this life."""
+        """Create an identity with the present time as the incarnation."""
         return cls(instance, zone, time.time_ns())
 
     @property
     def owner(self) -> str:
-        """The name under which this life holds engine memory and claims."""
+        """Owner name of this incarnation for engine memory and claims."""
         return f'{self.instance}:{self.incarnation}'
 
     def next_request_id(self) -> str:
-        """Give out a request id that names this instance."""
+        """Return a new request id, which contains the instance's name."""
         return f'{self.instance}:{self.incarnation:x}:{next(self._counter)}'
--- a/src/kelproad/state/invariants.py
+++ b/src/kelproad/state/invariants.py
@@ -1,7 +1,7 @@
-"""Invariants asserted where a state transition happens.
+"""Invariants, asserted at state transitions.
 
-A violation is always counted and logged; with strict checking (every test and
-long run) it also raises, so that the run stops at the first one.
+A violation is always counted and logged; with strict checking (all tests and
+long runs) it also raises, so that the run stops at the first one.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 @attrs.define
 class _Checking:
-    """How strictly this process checks; set once at its start."""
+    """Mode of checking, set once at the start of the process."""
 
     strict: bool = False
 
@@ -27,11 +27,11 @@
 
 
 class InvariantViolation(AssertionError):
-    """A transition broke a promise of the system."""
+    """A state transition violated an invariant."""
 
 
 def set_strict(strict: bool) -> None:
-    """Raise on violations (``True``) or only count and log them."""
+    """Set whether violations raise, or are only counted and logged."""
     _checking.strict = strict
 
 
--- a/src/kelproad/state/lengths.py
+++ b/src/kelproad/state/lengths.py
@@ -1,4 +1,4 @@
-"""Classes of prompt length, which decide on priority and sampling."""
+"""Classes of prompt length, which determine priority and sampling."""
 
 import enum
 
@@ -13,12 +13,13 @@
     LONG = 2
 
 
+#: Lower bounds of the middle and the long class, in tokens.
 _SHORT_LIMIT = 10_000
 _MIDDLE_LIMIT = 100_000
 
 
 def classify_length(prompt_tokens: int) -> LengthClass:
-    """Put a prompt into its length class."""
+    """Return the length class of a prompt."""
     if prompt_tokens < _SHORT_LIMIT:
         return LengthClass.SHORT
     if prompt_tokens < _MIDDLE_LIMIT:
--- a/src/kelproad/state/placement.py
+++ b/src/kelproad/state/placement.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who is responsible for what, without agreement."""
+"""Rendezvous hashing: assigns subjects to names without coordination."""
 
 import hashlib
 from collections.abc import Iterable
@@ -10,12 +10,12 @@
     """Choose the names responsible for a subject.
 
     Every instance that knows the same names chooses the same owners, and a
-    name that comes or goes moves only the subjects it owns.
+    name that is added or removed moves only the subjects that it owns.
 
     Parameters
     ----------
     subject
-        What is to be owned, such as an endpoint's name.
+        Thing to be owned, such as an endpoint's name.
     names
         Candidates.
     count
@@ -27,10 +27,10 @@
         At most ``count`` names, the first owner first.
     """
 
-    def weigh(name: str) -> bytes:  # noqa: WPS430  closure over the subject
+    def score(name: str) -> bytes:  # noqa: WPS430  closure over the subject
         return hashlib.blake2b(
             f'{subject}|{name}'.encode(),
             digest_size=8,
         ).digest()
 
-    return sorted(names, key=weigh, reverse=True)[:count]
+    return sorted(names, key=score, reverse=True)[:count]
--- a/src/kelproad/state/problems.py
+++ b/src/kelproad/state/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong in a document of settings or of operators."""
+"""Errors in settings files and in operators' files."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Problem:
-    """One thing that is wrong in a document."""
+    """An error in a file, with its position."""
 
     source: str
     line: int
@@ -15,5 +15,5 @@
     message: str
 
     def __str__(self) -> str:
-        """Format as compilers do: file, line, path, message."""
+        """Format like a compiler error: file, line, path, message."""
         return f'{self.source}:{self.line}: {self.path}: {self.message}'
--- a/src/kelproad/state/records.py
+++ b/src/kelproad/state/records.py
@@ -1,6 +1,6 @@
 """Structured log records: an event's name and its fields.
 
-A record is one line of a log.  It names what was decided or learned, the
+A record is one line of a log.  It contains a decision or an observation, the
 inputs, their age or version, and the outcome.
 """
 
@@ -13,15 +13,15 @@
 
 
 def record(logger: logging.Logger, event: str, /, **fields: object) -> None:
-    """Write one structured record.
+    """Log one structured record at level INFO.
 
     Parameters
     ----------
     logger
-        Logger of the module that decided.
+        Logger of the calling module.
     event
-        Name of what happened, in snake case.
+        Name of the event, in snake case.
     fields
-        What decided it and what came of it; JSON can hold each.
+        Inputs and outcome, which must be JSON-serializable.
     """
     logger.info(event, extra={EVENT_FIELDS: fields})
--- a/src/kelproad/state/refusals.py
+++ b/src/kelproad/state/refusals.py
@@ -1,8 +1,8 @@
-"""Refusals: the expected errors that a caller, operator or layer is told.
+"""Refusals: expected errors, reported to a caller, operator or layer.
 
-A refusal says at which step and at which peer it arose, and, for a request,
-whether the work was run.  ``Ran.NO`` is a promise: the work has not been run
-and never will be by this process.
+A refusal contains the step and the peer at which it arose, and, for a request,
+whether the work was run.  ``Ran.NO`` is a guarantee: this process has not run
+the work and never will.
 """
 
 import enum
@@ -12,20 +12,20 @@
 
 __all__ = ['PROMISING', 'Ran', 'Refusal', 'RefusalCode', 'Step']
 
-#: Statuses that promise the caller that its call has not run and never will.
+#: Statuses that guarantee that the call has not run and never will.
 PROMISING = frozenset((408, 421, 429, 503))
 
 
 class Ran(enum.StrEnum):
     """Whether the refused request was executed by an endpoint."""
 
-    NO = 'no'  # noqa: WPS110  the answer to a question
+    NO = 'no'  # noqa: WPS110  named after its value
     YES = 'yes'
     UNKNOWN = 'unknown'
 
 
 class Step(enum.StrEnum):
-    """The step of a request, or of a control action, that failed."""
+    """Step of a request or of a control action."""
 
     RECEIVE = 'receive'
     AUTHENTICATE = 'authenticate'
@@ -41,7 +41,7 @@
 
 
 class RefusalCode(enum.StrEnum):
-    """Machine-readable reason; each maps to one HTTP status."""
+    """Machine-readable reason of a refusal, with one HTTP status each."""
 
     BAD_REQUEST = 'bad_request'
     UNAUTHENTICATED = 'unauthenticated'
@@ -65,7 +65,7 @@
 
     @property
     def status(self) -> int:
-        """HTTP status code with which the refusal is answered."""
+        """HTTP status code of the answer."""
         return _STATUS[self]
 
 
@@ -96,23 +96,22 @@
 
 @attrs.frozen
 class Refusal:
-    """An expected error, with where it arose.
+    """An expected error, and where it arose.
 
     Attributes
     ----------
     code
         Machine-readable reason.
     message
-        One sentence for a person.
+        Human-readable sentence.
     step
         The step that failed.
     peer
-        Name or address of the other side, empty when there was none.
+        Name or address of the remote side, empty when there was none.
     ran
         Whether the request's work was executed.
     retry_after
-        Seconds after which trying again makes sense; ``None`` when it never
-        does.
+        Seconds after which a retry may succeed; ``None`` when none can.
     """
 
     code: RefusalCode
