--- a/src/kelproad/transport/__init__.py
+++ b/src/kelproad/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets and HTTP sessions: bytes in, bytes out.
+"""Sockets and HTTP sessions, without knowledge of their content.
 
 May import ``state``; ``protocol``, ``coordination`` and the command line
 import it.
--- a/src/kelproad/transport/addresses.py
+++ b/src/kelproad/transport/addresses.py
@@ -1,7 +1,7 @@
-"""Network addresses as settings and configuration write them.
+"""Network addresses, as written in settings and configuration.
 
-Peers and endpoints are reached by IP number, never by name, so that no
-resolver stands between the instances of a site.
+Peers and endpoints have IP addresses, never names, so that the instances of a
+site do not depend on a name resolver.
 """
 
 import ipaddress
@@ -15,12 +15,12 @@
 
 
 class AddressError(ValueError):
-    """The text is not ``IP:port``."""
+    """The text is not a valid ``IP:port``."""
 
 
 @attrs.frozen
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -32,7 +32,7 @@
         Raises
         ------
         AddressError
-            When the host is not an IP number or the port not in 1 to 65535.
+            When the host is not an IP address or the port not in 1 to 65535.
         """
         host, separator, port = text.rpartition(':')
         host = host.removeprefix('[').removesuffix(']')
@@ -43,12 +43,12 @@
         try:
             ipaddress.ip_address(host)
         except ValueError:
-            raise AddressError(f'{text!r} does not start with an IP number')
+            raise AddressError(f'{text!r} does not start with an IP address')
         return cls(host=host, port=int(port))
 
     @property
     def authority(self) -> str:
-        """The address as it stands in a URL."""
+        """The address in the form of a URL, IPv6 in brackets."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
--- a/src/kelproad/transport/datagrams.py
+++ b/src/kelproad/transport/datagrams.py
@@ -1,10 +1,10 @@
-"""Datagrams between instances, for news that are stale when they are late.
+"""Datagrams between instances, for updates that are useless when late.
 
-Nothing is sent again: every datagram holds a whole state, so the next one
-makes up for a lost one.  A silent peer costs nothing, which a connection to it
-would.  One datagram takes some 20 us of processor time here, a message over
-a pynng socket 490 us for both ends together; instances tell each other of work
-up to 50 times a second.
+Nothing is sent again: every datagram contains a complete state, so the next
+one replaces a lost one.  A silent peer has no cost, unlike a connection to it.
+One datagram takes some 20 us of processor time here, a message over a pynng
+socket 490 us for both ends together; instances report work to each other up to
+50 times a second.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """One socket that sends to and receives from all peers."""
+    """One UDP socket for sending to and receiving from all peers."""
 
     def __init__(self, receive: Callable[[bytes], None]) -> None:
-        """Hand each datagram to a function; nothing is open yet."""
+        """Set the function that gets each datagram; open no socket yet."""
         self._receive = receive
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -35,7 +35,7 @@
         )
 
     def send(self, datagram: bytes, address: Address) -> None:
-        """Send without waiting; a full socket buffer loses the datagram."""
+        """Send without waiting; the datagram is lost if the buffer is full."""
         if self._transport is not None:
             self._transport.sendto(datagram, (address.host, address.port))
 
@@ -44,16 +44,16 @@
         if self._transport is not None:
             self._transport.close()
 
-    # asyncio calls these
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport of the open socket."""
+        """Store the transport, with which sending becomes possible."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a datagram on."""
+        """Forward a datagram to the receiver."""
         self._receive(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a peer's host says its port is closed, or the like."""
+        """Log that a peer's host reported a closed port or a similar error."""
         _logger.debug('a datagram was not delivered: %r', exc)
--- a/src/kelproad/transport/deadlines.py
+++ b/src/kelproad/transport/deadlines.py
@@ -1,4 +1,4 @@
-"""Bounding a wait by a deadline on the monotonic clock."""
+"""Bounds on waits by deadlines on the monotonic clock."""
 
 import asyncio
 import time
@@ -12,8 +12,8 @@
 def read_boottime() -> float:
     """Read the clock that also counts while the machine is suspended.
 
-    For ages of what others may have changed meanwhile: after a suspension of
-    minutes the monotonic clock would call it fresh.
+    It is for ages of data that others may have changed meanwhile: after a
+    suspension of minutes, such data would be fresh by the monotonic clock.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/src/kelproad/transport/exchanges.py
+++ b/src/kelproad/transport/exchanges.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange: bounded in time, answered whole, or failed and why."""
+"""One HTTP request and its complete answer, or the reason of failure."""
 
 import asyncio
 import types
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Reply:
-    """An answer with its whole body, whatever its status."""
+    """An answer with its complete body and any status."""
 
     status: int
     body: bytes
@@ -25,13 +25,13 @@
 
 @attrs.frozen
 class ExchangeFailure:
-    """An exchange that brought no whole answer.
+    """The failure of an exchange without a complete answer.
 
     Attributes
     ----------
     sent
-        Whether the request may have been sent, and so may have taken effect.
-        It was not when no connection was made.
+        Whether the request may have been sent and so have taken effect; false
+        when no connection was made.
     """
 
     reason: str
@@ -47,7 +47,7 @@
     query: Mapping[str, str] | None = None,
     headers: Mapping[str, str] = _NO_HEADERS,
 ) -> Result[Reply, ExchangeFailure]:
-    """Send a request and read its answer, within some seconds.
+    """Send a request and read its complete answer within a time-out.
 
     Redirects are not followed.
     """
--- a/src/kelproad/transport/http.py
+++ b/src/kelproad/transport/http.py
@@ -1,7 +1,7 @@
-"""HTTP client sessions, by aiohttp.
+"""HTTP client sessions on aiohttp.
 
-One place sets what every connection of the system has in common: no
-redirects followed, no proxy taken from the environment.
+The settings common to all connections of the system are made here: no redirects
+are followed, and no proxy is taken from the environment.
 """
 
 from collections.abc import Callable
@@ -17,21 +17,21 @@
     'watch_end',
 ]
 
-#: Seconds for which a connection without a call is kept.
+#: Seconds for which an idle connection is kept open.
 _KEEPALIVE_SECONDS = 30.0
 
 
 class ConnectionLostError(aiohttp.ClientError):
-    """The connection broke after a request may have been sent."""
+    """The connection was lost after the request may have been sent."""
 
 
 def create_session(
     origin: Address | None = None,
     **options: object,
 ) -> aiohttp.ClientSession:
-    """Open a client session that keeps connections between requests.
+    """Open a client session that reuses connections.
 
-    Connections leave from the IP number of ``origin``, if one is given.
+    Connections are made from the IP address of ``origin``, if one is given.
     """
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
@@ -51,10 +51,10 @@
     origin: Address | None = None,
     **options: object,
 ) -> aiohttp.ClientSession:
-    """Open a client session that sends each request once.
+    """Open a client session that sends each request once, on a new connection.
 
-    A kept connection may turn out to be closed, which leaves it open whether
-    the request was executed, so each connection is used once.
+    A reused connection may turn out to be closed, and then it is unknown
+    whether the request was executed.
     """
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
@@ -77,10 +77,10 @@
 ) -> aiohttp.ClientResponse:
     """Keep aiohttp from sending a request a second time.
 
-    It does so by itself when the connection of a PUT, a DELETE or a GET breaks
-    without an answer, also when that connection was new.  The first sending
-    may have been executed: a stock entry would be booked twice.  It does not
-    for errors that it does not know.
+    aiohttp retries a PUT, a DELETE or a GET by itself when the connection is
+    lost without an answer, even if it was new.  The first request may have
+    been executed: a stock entry would be booked twice.  aiohttp does not retry
+    after exceptions that it does not know.
     """
     try:
         return await send(http_request)
@@ -91,17 +91,17 @@
 
 
 def watch_end(response: aiohttp.ClientResponse) -> Callable[[], bool]:
-    """Prepare to tell whether a body came to its proper end.
+    """Create a check of whether a body is complete.
 
-    A body without a length ends with its connection, and aiohttp takes a reset
-    for that end: the caller would get part of an answer that looks complete.
-    Only the connection knows how it ended, and only until it is released, so
-    this is called as soon as the head of the answer is there.
+    A body without a length ends with its connection, and aiohttp accepts a
+    reset as that end: the caller would get a truncated answer that looks
+    complete.  Only the connection shows how it ended, and only until it is
+    released, so call this as soon as the head of the answer is read.
 
     Returns
     -------
     Callable
-        Tells, once the body has been read, whether its end was proper.
+        Returns, once the body has been read, whether it is complete.
     """
     framed = (
         response.content_length is not None
@@ -110,13 +110,14 @@
     connection = response.connection
     protocol = connection.protocol if connection else None
 
-    def ended_properly() -> bool:
+    def is_complete() -> bool:
         if framed:
             return True
         if protocol is None:
-            # Without its connection nothing tells a reset from an end.
+            # Without the connection, a reset is not distinguishable from an
+            # orderly end.
             return False
         was_reset = isinstance(protocol.exception(), aiohttp.ClientOSError)
         return not was_reset
 
-    return ended_properly
+    return is_complete
--- a/src/kelproad/transport/peers.py
+++ b/src/kelproad/transport/peers.py
@@ -1,8 +1,8 @@
 """Datagram-like messages between instances, over pynng.
 
-Each instance has one socket that receives from everybody and one task with
-one sending socket for each peer.  A message may be lost, doubled, late or out
-of order; what stands above must bear that.
+Each instance has one socket that receives from all peers, and one task with
+one sending socket for each peer.  A message may be lost, duplicated, late or
+out of order; the layers above must tolerate that.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 _SEND_TIMEOUT_MS = 1000
 _RECONNECT_MIN_MS = 100
 _RECONNECT_MAX_MS = 2000
-#: Larger messages are cut off by the socket before they are read.
+#: Larger messages are discarded by the socket before they are read.
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
 class PeerListener(BackgroundService):
-    """Receives the messages of all peers."""
+    """Receiver of the messages of all peers."""
 
     abstract = False
 
@@ -35,7 +35,7 @@
         address: Address,
         receive: Callable[[bytes], Awaitable[None]],
     ) -> None:
-        """Prepare to listen; ``receive`` gets each message's bytes."""
+        """Prepare to listen; ``receive`` is called with each message."""
         super().__init__()
         self._address = address
         self._receive = receive
@@ -60,17 +60,17 @@
 
 
 class PeerLink:
-    """The sending side towards one peer.
+    """Sender of messages to one peer.
 
-    Only the newest message waits: a peer that does not read must not make
-    this process collect memory, and every message carries whole records, so
-    that a newer one makes up for the one it displaced.
+    Only the newest messages wait: a peer that does not read must not make the
+    memory of this process grow, and every message contains complete records,
+    so that a newer one replaces the one that was dropped.
     """
 
     def __init__(self, address: Address, origin: Address) -> None:
-        """Dial in the background from the IP number of an origin.
+        """Connect in the background, from the IP address of ``origin``.
 
-        The peer need not be up.
+        The peer need not be running.
         """
         self._socket = pynng.Push0(
             send_timeout=_SEND_TIMEOUT_MS,
@@ -86,14 +86,14 @@
         self.dropped = 0
 
     def send(self, message: bytes) -> None:
-        """Hand over a message; the oldest waiting one gives way if need be."""
+        """Queue a message; the oldest one is dropped if the queue is full."""
         if self._waiting.full():
             self._waiting.get_nowait()
             self.dropped += 1
         self._waiting.put_nowait(message)
 
     def close(self) -> None:
-        """Stop sending and free the socket."""
+        """Stop sending, drop waiting messages and close the socket."""
         self._task.cancel()
         self._socket.close()
 
--- a/src/kelproad/transport/servers.py
+++ b/src/kelproad/transport/servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers, by aiohttp: bounded headers, connections cared for."""
+"""HTTP servers on aiohttp, with bounds on headers and idle connections."""
 
 import asyncio
 import logging
@@ -18,30 +18,30 @@
     'wait_for_last_byte',
 ]
 
-#: A caller's header block and request line may not be larger than this.
+#: Maximum size in bytes of a caller's request line and of a header field.
 MAX_HEADER_BYTES = 16_384
-#: Seconds that a new connection has until its first headers are there.
+#: Seconds within which a new connection must deliver its first headers.
 HEAD_TIMEOUT = 10.0
-#: Seconds for which a connection may stay idle, unless its server says else.
+#: Default seconds for which a connection may stay idle.
 _KEEPALIVE_SECONDS = 30.0
 _MALFORMED = (HttpProcessingError, web.RequestPayloadError)
 _BACKLOG = 1024
-#: Turns of the event loop in which a call that has been read reaches its
-#: handler: aiohttp wakes the connection's task, which starts another one.
-_READING_TURNS = 5
-#: Ended connections that may be remembered before they are looked through.
-_KEPT_SLACK = 64
+#: Iterations of the event loop in which a call that has been read reaches its
+#: handler: aiohttp resumes the connection's task, which starts another one.
+_READING_ITERATIONS = 5
+#: Closed connections that may be in the set before it is cleaned up.
+_CLEANUP_SLACK = 64
 
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def _ignore() -> None:
-    """Take no note."""
+    """Ignore malformed input."""
 
 
 class HttpServer(BackgroundService):
-    """An HTTP server on one address, started and stopped with its owner."""
+    """An HTTP server on one address, started and stopped with its parent."""
 
     abstract = False
 
@@ -49,54 +49,55 @@
         self,
         application: web.Application,
         address: Address,
-        note_malformed: Callable[[], None] = _ignore,
+        on_malformed: Callable[[], None] = _ignore,
         keepalive: float = _KEEPALIVE_SECONDS,
         decode_bodies: bool = True,
         farewell: float = 1.0,
         header_bytes: int = MAX_HEADER_BYTES,
     ) -> None:
-        """Prepare to serve an application; nothing listens until started.
+        """Prepare to serve an application; it listens once it is started.
 
         Parameters
         ----------
         application
-            What answers.
+            Application that answers.
         address
-            Where to listen.
-        note_malformed
+            Address to listen on.
+        on_malformed
             Called for input that is not HTTP.
         keepalive
             Seconds for which a connection may stay idle.
         decode_bodies
-            Whether a body's content encoding is undone; a body that is passed
-            on unread must stay as it is.
+            Whether content encodings of bodies are decoded; a body that is
+            forwarded unread must stay encoded.
         farewell
-            Seconds that calls in hand still have when the server closes.
+            Seconds within which calls in progress must end when the server
+            closes.
         header_bytes
-            Bound on the request line and on each header field.
+            Maximum size of the request line and of each header field.
         """
         super().__init__()
         self._application = application
         self._address = address
-        self._note_malformed = note_malformed
+        self._on_malformed = on_malformed
         self._runner: web.AppRunner | None = None
         self._listener: asyncio.Server | None = None
-        self._unheard: set[asyncio.BaseProtocol] = set()
+        self._awaiting_first: set[asyncio.BaseProtocol] = set()
         self._busy: set[asyncio.BaseProtocol] = set()
-        self._kept: set[asyncio.BaseProtocol] = set()
+        self._used: set[asyncio.BaseProtocol] = set()
         self._keepalive = keepalive
         self._decode_bodies = decode_bodies
         self._farewell = farewell
         self._header_bytes = header_bytes
-        application.middlewares.insert(0, self._note_heard)
+        application.middlewares.insert(0, self._track_call)
 
     async def on_start(self) -> None:
-        """Listen; connections are accepted from here on."""
+        """Start listening and accepting connections."""
         self._runner = web.AppRunner(
             self._application,
             access_log=None,
             logger=self._create_logger(),
-            # A caller that goes away must free the engine it occupies.
+            # When a caller disconnects, its engine must become free.
             handler_cancellation=True,
             max_line_size=self._header_bytes,
             max_field_size=self._header_bytes,
@@ -108,7 +109,7 @@
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             self._accept,
-            sock=_listen(self._address),
+            sock=_create_listener(self._address),
             backlog=_BACKLOG,
         )
 
@@ -120,42 +121,42 @@
             await self._runner.cleanup()
 
     def list_connections(self) -> list[web.RequestHandler]:
-        """List the connections that are open, none before the start."""
+        """List the open connections; before the start there are none."""
         if self._runner is None or self._runner.server is None:
             return []
         return self._runner.server.connections
 
     async def close_idle(self) -> None:
-        """Close kept connections that have no call at the moment.
+        """Close the connections that have had a call and have none now.
 
-        One that has not brought its first call is left alone, as that call is
+        A connection without a first call is left open, as that call is
         probably on its way.
 
-        Nothing more is read first, then a call that was being read gets the
-        time to reach its handler, then what has none is closed.  To close at
-        once would lose a call that has been read; to mark a connection as
-        closed and end it later (aiohttp ignores what comes on it then) lost
-        every call of the 20 ms between.  Now only what crosses the closing is
-        lost, unread.
+        First, reading is paused; then a call that was being read gets the time
+        to reach its handler; then connections without a call are closed.  To
+        close at once would lose a call that has been read; to mark a
+        connection as closed and end it later (aiohttp ignores further input on
+        it) lost every call of the 20 ms between.  Now only a call that arrives
+        during the close is lost, unread.
         """
         idle = [
             connection
             for connection in self.list_connections()
-            if connection in self._kept and connection not in self._busy
+            if connection in self._used and connection not in self._busy
         ]
         for connection in idle:
-            # aiohttp lists one that its caller has just closed until its task
-            # has ended.  An error there left those before it unread until the
-            # end of the stop.
+            # aiohttp lists a connection that its caller has just closed until
+            # its task has ended.  An exception at such a connection left those
+            # before it paused until the end of the stop.
             if connection.transport is not None:
                 connection.transport.pause_reading()
-        for _ in range(_READING_TURNS):
+        for _ in range(_READING_ITERATIONS):
             await asyncio.sleep(0)
         for connection in idle:
-            self._end_idle(connection)
+            self._close_unless_busy(connection)
 
-    def _end_idle(self, connection: web.RequestHandler) -> None:
-        """Close a connection unless it has a call by now."""
+    def _close_unless_busy(self, connection: web.RequestHandler) -> None:
+        """Close a connection unless it has a call meanwhile."""
         transport = connection.transport
         if transport is None:
             return
@@ -166,50 +167,50 @@
         transport.close()
 
     def _accept(self) -> asyncio.BaseProtocol:
-        """Serve a connection, which must bring its first request in time.
+        """Serve a connection, with a time-out for its first request.
 
-        aiohttp waits for the first headers without a bound, so callers that
-        send them byte by byte could hold all connections.
+        aiohttp waits for the first headers without a time-out, so callers that
+        send them byte by byte could occupy all connections.
         """
         protocol = self._runner.server()
-        self._unheard.add(protocol)
+        self._awaiting_first.add(protocol)
         loop = asyncio.get_running_loop()
-        loop.call_later(HEAD_TIMEOUT, self._expire, protocol)
+        loop.call_later(HEAD_TIMEOUT, self._abort_unless_used, protocol)
         return protocol
 
-    def _expire(self, protocol: web.RequestHandler) -> None:
-        unheard = protocol in self._unheard
-        self._unheard.discard(protocol)
-        if unheard and protocol.transport is not None:
+    def _abort_unless_used(self, protocol: web.RequestHandler) -> None:
+        is_awaiting = protocol in self._awaiting_first
+        self._awaiting_first.discard(protocol)
+        if is_awaiting and protocol.transport is not None:
             protocol.transport.abort()
 
     @web.middleware
-    async def _note_heard(
+    async def _track_call(
         self,
         http_request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
         protocol = http_request.protocol
-        self._unheard.discard(protocol)
+        self._awaiting_first.discard(protocol)
         self._busy.add(protocol)
         try:
             return await handler(http_request)
         finally:
             self._busy.discard(protocol)
-            self._keep(protocol)
+            self._record_used(protocol)
 
-    def _keep(self, protocol: asyncio.BaseProtocol) -> None:
-        """Enter a connection that has had a call; forget those that ended."""
-        self._kept.add(protocol)
+    def _record_used(self, protocol: asyncio.BaseProtocol) -> None:
+        """Record a connection that has had a call; remove closed ones."""
+        self._used.add(protocol)
         live = self._runner.server.connections
-        if len(self._kept) > 2 * len(live) + _KEPT_SLACK:
-            self._kept.intersection_update(live)
+        if len(self._used) > 2 * len(live) + _CLEANUP_SLACK:
+            self._used.intersection_update(live)
 
     def _create_logger(self) -> logging.Logger:
         """Create the logger of aiohttp's server.
 
-        It logs a trace for whatever is not HTTP, so that any caller could
-        flood the log; such input is counted instead.
+        aiohttp logs a traceback for input that is not HTTP, so any caller
+        could flood the log; such input is counted instead.
         """
         logger = logging.Logger(f'{__name__}:{self._address.authority}')
         logger.parent = logging.getLogger('aiohttp.server')
@@ -220,7 +221,7 @@
         error = record.exc_info[1] if record.exc_info else None
         if not isinstance(error, _MALFORMED):
             return True
-        self._note_malformed()
+        self._on_malformed()
         return False
 
 
@@ -228,10 +229,10 @@
     http_request: web.BaseRequest,
     response: web.StreamResponse,
 ) -> None:
-    """Send an answer of known length, until the network has every byte.
+    """Send an answer of known length and wait until it is written.
 
-    aiohttp would send it after the handler, where nothing counts it as being
-    in hand.
+    aiohttp would send it after the handler has returned, when the call no
+    longer counts as in progress.
     """
     if response.prepared:
         return
@@ -243,7 +244,7 @@
     http_request: web.BaseRequest,
     response: web.StreamResponse,
 ) -> None:
-    """End an answer that has begun, when the network has every byte.
+    """End an answer that has begun and wait until it is written.
 
     The next answer on the connection is buffered as usual again: a stream
     would otherwise wait for its caller at each event.
@@ -258,17 +259,17 @@
 
 
 def wait_for_last_byte(http_request: web.BaseRequest) -> None:
-    """Have the sending end only when the network has taken every byte.
+    """Make sending complete only when every byte is written to the socket.
 
-    Otherwise it ends with up to 64 KB still in this process, and a planned
-    stop, which waits for the sending alone, would cut them off.
+    Otherwise it completes with up to 64 KB still in this process, and a
+    planned stop, which waits only for sending to complete, would drop them.
     """
     transport = http_request.transport
     if transport is not None:
         transport.set_write_buffer_limits(high=0)
 
 
-def _listen(address: Address) -> socket.socket:
+def _create_listener(address: Address) -> socket.socket:
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/src/kelproad/transport/services.py
+++ b/src/kelproad/transport/services.py
@@ -1,4 +1,4 @@
-"""The base of the services that run inside an instance."""
+"""Base class of the services that run inside an instance."""
 
 from mode import Service
 
@@ -6,7 +6,7 @@
 
 
 class BackgroundService(Service):
-    """A service whose starting and stopping is no change of state to log."""
+    """A service that logs its start and stop at level DEBUG only."""
 
     abstract = True
     mundane_level = 'debug'
