--- a/bench/slopes_gossip.py
+++ b/bench/slopes_gossip.py
@@ -8,7 +8,7 @@
 import time
 import tracemalloc
 
-from kelproad.coordination.gossip import PERIOD, Gossiper, Place
+from kelproad.coordination.gossip import PERIOD, Gossiper, Location
 from kelproad.state.members import EndpointReport, Member, MemberTable
 
 from .slopes_usage import Row
@@ -36,7 +36,7 @@
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     own = _create_member(0, 1, generator)
-    place = Place(own.name, own.zone, '', own.peer_address)
+    place = Location(own.name, own.zone, '', own.peer_address)
     gossiper = Gossiper(place, table, generator)
     seconds = float(0)
     for number in range(_ROUNDS):
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -180,7 +180,7 @@
     near, far = [], []
     for member in watched:
         for endpoint in member.table.all().values():
-            if endpoint.read_here:
+            if endpoint.read_locally:
                 continue
             is_near = endpoint.declaration.zone == member.zone
             ages = near if is_near else far
--- a/src/kelproad/coordination/acceptance.py
+++ b/src/kelproad/coordination/acceptance.py
@@ -18,17 +18,17 @@
 from ..state.problems import Problem
 from ..state.refusals import Refusal, RefusalCode, Step
 from .configuration import ConfigurationFollower
+from .conflicts import EditConflict, describe_conflict
 from .history import (
-    STORE_TIMEOUT,
+    HISTORY_TIMEOUT,
     FileRow,
     Head,
+    build_commit_writes,
     digest_text,
     find_apply,
-    list_writes,
     read_head,
     store_text,
 )
-from .races import Raced, describe_race
 
 __all__ = ['Accepted', 'ConfigurationWriter', 'Submission']
 
@@ -37,7 +37,7 @@
 #: Characters of the longest apply id.
 _MAX_APPLY_ID_LENGTH = 128
 
-Refused = Refusal | list[Problem] | Raced
+Refused = Refusal | list[Problem] | EditConflict
 
 
 @attrs.frozen
@@ -137,7 +137,7 @@
         seen = submission.base_generation
         if generation != seen:
             return Failure(
-                await describe_race(self.platform, name, seen, generation),
+                await describe_conflict(self.platform, name, seen, generation),
             )
         accepted = Accepted(name, generation + 1, base.head.revision + 1)
         if dry_run:
@@ -204,8 +204,8 @@
             apply_id=submission.apply_id,
         )
         written = await self.platform.transact(
-            list_writes(row, head),
-            STORE_TIMEOUT,
+            build_commit_writes(row, head),
+            HISTORY_TIMEOUT,
         )
         if isinstance(written, Failure):
             return await self._read_back(row, written.failure())
@@ -315,7 +315,7 @@
         f'this try applied nothing: {error.message}',
         Step.STORE,
         peer=error.peer,
-        retry_after=STORE_TIMEOUT,
+        retry_after=HISTORY_TIMEOUT,
     )
 
 
@@ -326,5 +326,5 @@
         f'{error.message}; repeat it with the same id to find out',
         Step.STORE,
         peer=error.peer,
-        retry_after=STORE_TIMEOUT,
+        retry_after=HISTORY_TIMEOUT,
     )
--- a/src/kelproad/coordination/accounts.py
+++ b/src/kelproad/coordination/accounting.py
@@ -10,11 +10,11 @@
 from ..state.requests import Decision, DecisionLog, Request, RequestTable
 from .limits import WorkspaceLimits
 
-__all__ = ['Accounts']
+__all__ = ['RequestAccounting']
 
 
 @attrs.frozen
-class Accounts:
+class RequestAccounting:
     """Records every request once when it begins and once when it ends."""
 
     _requests: RequestTable
@@ -48,7 +48,7 @@
             {'service': request.service.name, 'outcome': label},
         )
 
-    def note_unworked(
+    def record_unstarted(
         self,
         request: Request,
         outcome: Result[object, Refusal],
--- a/src/kelproad/coordination/admitting.py
+++ b/src/kelproad/coordination/admitting.py
@@ -19,7 +19,7 @@
 from .confirmation import Confirmation
 from .drain import Drain, StopEndedError
 from .limits import WorkspaceLimits
-from .reception import Arrival, Call, move_to, receive, refuse_leaving
+from .reception import Arrival, Call, reauthenticate, receive, refuse_stopping
 
 T = TypeVar('T')
 
@@ -49,7 +49,7 @@
         """List the models that the caller's workspace may use."""
         key = callers.read_bearer(call.http_request)
         return await self._until_end(
-            lambda: self._confirmation.ask(
+            lambda: self._confirmation.resolve(
                 lambda snapshot: admission.list_models(snapshot, key),
                 self._holder.current,
                 call.arrived,
@@ -72,8 +72,8 @@
         """Create a request, if it is permitted and within the limits."""
         call = arrival.call
         found = await self._until_end(
-            lambda: self._confirmation.ask(
-                lambda snapshot: move_to(snapshot, arrival).bind(admit),
+            lambda: self._confirmation.resolve(
+                lambda snapshot: reauthenticate(snapshot, arrival).bind(admit),
                 arrival.snapshot,
                 call.arrived,
                 call.deadline,
@@ -90,7 +90,7 @@
             async with self._drain.until_end():
                 return await answer()
         except StopEndedError:
-            return Failure(refuse_leaving())
+            return Failure(refuse_stopping())
 
     def _check_stop(self, request: Request) -> Result[Request, Refusal]:
         """Refuse a request that the end of a stop could interrupt.
@@ -98,6 +98,6 @@
         Every request ends by its deadline at the latest, but a stream that has
         begun can't be refused any more.
         """
-        if request.remaining(monotonic()) > self._drain.measure_left():
-            return Failure(refuse_leaving())
+        if request.remaining(monotonic()) > self._drain.seconds_until_end():
+            return Failure(refuse_stopping())
         return Success(request)
--- a/src/kelproad/coordination/answers.py
+++ b/src/kelproad/coordination/answers.py
@@ -21,10 +21,10 @@
 from ..state.refusals import Refusal
 from ..state.requests import Request
 
-__all__ = ['Answer', 'CallerGoneError', 'DeliveryError', 'Sink']
+__all__ = ['Answer', 'CallerDisconnectedError', 'DeliveryError', 'Sink']
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before the answer was complete."""
 
 
@@ -103,13 +103,13 @@
         )
 
     @property
-    def movable(self) -> bool:
+    def can_fail_over(self) -> bool:
         """Whether another endpoint may take over work that may have run."""
         if not (self.request.repeatable and self.has_alternative):
             return False
         return self.sink.restartable or self.continuable
 
-    async def pass_on(self, events: list[Event]) -> None:
+    async def forward(self, events: list[Event]) -> None:
         """Forward events to the caller; keep them for a continuation."""
         if self.continuation is not None:
             events = [_adapt(event, self.continuation) for event in events]
@@ -143,7 +143,7 @@
     def _keep(self, events: list[Event]) -> None:
         """Keep events, or drop all of them when a bound is reached."""
         for event in events:
-            if not self._reservation.take(len(event.payload)):
+            if not self._reservation.acquire(len(event.payload)):
                 self.continuable = False
                 self._drop_kept()
                 return
--- a/src/kelproad/coordination/attempts.py
+++ b/src/kelproad/coordination/attempts.py
@@ -23,13 +23,13 @@
 from ..transport.addresses import Address
 from ..transport.deadlines import monotonic
 from . import routing
-from .answers import Answer, CallerGoneError, DeliveryError, Sink
-from .ejection import note_outcome, note_stall
+from .answers import Answer, CallerDisconnectedError, DeliveryError, Sink
+from .ejection import record_outcome, record_stall
 from .reclamation import Canceller
-from .relays import Patience, Relay
+from .relays import EventTimeouts, Relay
 from .retries import Retries
 
-__all__ = ['Attempts', 'CallerGoneError']
+__all__ = ['Attempts', 'CallerDisconnectedError']
 
 #: Maximum number of endpoints that one request is sent to.
 _MAX_ATTEMPTS = 3
@@ -107,7 +107,7 @@
 
         Raises
         ------
-        CallerGoneError
+        CallerDisconnectedError
             As the sink does.
         """
         self._retries.count_request(request)
@@ -128,7 +128,7 @@
             if isinstance(outcome, Success):
                 return outcome
             refusal = outcome.failure()
-            request.note_ran(refusal.ran)
+            request.record_ran(refusal.ran)
             decision.note('attempt failed', refusal=attrs.asdict(refusal))
             if not (_may_repeat(request, refusal) and answer.prepare_next()):
                 return outcome
@@ -136,7 +136,7 @@
                 return outcome
         return outcome
 
-    def suggest_pause(self, request: Request) -> float:
+    def suggest_retry_after(self, request: Request) -> float:
         """Return the seconds after which a repeated request may succeed.
 
         This is the present wait of prompts of that length.  Without a queue a
@@ -194,7 +194,7 @@
             return False
         if not self._retries.affords(request):
             return False
-        return routing.has_usable(
+        return routing.has_usable_endpoint(
             request,
             self._table,
             self._identity.zone,
@@ -220,7 +220,7 @@
     ) -> Result[None, Refusal]:
         request, endpoint = answer.request, placement.endpoint
         endpoint.begin_prefill(request.prompt_tokens, monotonic())
-        self._table.note_sent(request.prompt_tokens)
+        self._table.record_sent(request.prompt_tokens)
         endpoint.own_requests += 1
         request.phase = Phase.DISPATCHED
         relay = self._create_relay(answer, placement)
@@ -252,7 +252,7 @@
             placement.url,
             attempt,
             answer,
-            Patience.from_prediction(
+            EventTimeouts.from_prediction(
                 placement.choice.predicted,
                 request.remaining(monotonic()),
             ),
@@ -303,10 +303,10 @@
         if refusal is None or placement.first_token or not stalled:
             endpoint = placement.endpoint
             counters = self._counters
-            note_outcome(self._table, endpoint, refusal, now, counters)
+            record_outcome(self._table, endpoint, refusal, now, counters)
         elif refusal.code is RefusalCode.ENDPOINT_FAILED:
             tokens = request.prompt_tokens
-            note_stall(self._table, choice, tokens, now, self._counters)
+            record_stall(self._table, choice, tokens, now, self._counters)
 
     def _record_first_token(
         self,
@@ -316,7 +316,7 @@
         if placement.first_token:
             return
         placement.first_token = True
-        routing.note_first_token(
+        routing.record_first_token(
             self._table,
             placement.choice,
             request,
--- a/src/kelproad/coordination/candidates.py
+++ b/src/kelproad/coordination/candidates.py
@@ -14,10 +14,10 @@
 from ..state.endpoints import Endpoint, EndpointTable
 from ..state.requests import Request
 
-__all__ = ['Search', 'draw', 'list_usable']
+__all__ = ['Search', 'sample_usable', 'list_usable']
 
 #: Seconds without a report after which an engine is suspect.
-SILENT_AFTER = 3.0
+REPORT_TIMEOUT = 3.0
 #: Endpoints checked for each one wanted, before all of them are checked.
 _CHECKS_PER_SAMPLE = 4
 
@@ -59,7 +59,7 @@
         report = endpoint.report
         return report is None or self.request.service.model in report.models
 
-    def is_doubtful(self, endpoint: Endpoint) -> bool:
+    def is_suspect(self, endpoint: Endpoint) -> bool:
         """Return whether to use an endpoint only if there is no other.
 
         Without recent reports, the engine has failed or its zone is
@@ -71,7 +71,7 @@
             return True
         if endpoint.group.kind is EndpointKind.PLAIN:
             return False
-        return self.now - endpoint.reported_at > SILENT_AFTER
+        return self.now - endpoint.reported_at > REPORT_TIMEOUT
 
     def pools(self, zone: str | None) -> list[list[Endpoint]]:
         """Return the lists of endpoints to sample, of one zone or all."""
@@ -81,7 +81,9 @@
         return [self.table.in_zone(name, zone) for name in names]
 
 
-def draw(search: Search, zone: str | None, size: int) -> list[Endpoint]:
+def sample_usable(
+    search: Search, zone: str | None, size: int
+) -> list[Endpoint]:
     """Sample usable endpoints, suspect ones only if there are no others.
 
     Random sampling keeps instances with the same stale report from all
@@ -95,7 +97,7 @@
     for index in search.generator.sample(range(total), checks):
         endpoint = _get_from_pools(pools, index)
         if search.is_usable(endpoint):
-            matching = suspect if search.is_doubtful(endpoint) else healthy
+            matching = suspect if search.is_suspect(endpoint) else healthy
             matching.append(endpoint)
         if len(healthy) == size:
             return healthy
@@ -114,7 +116,7 @@
         if search.is_usable(endpoint)
     ]
     healthy = [
-        endpoint for endpoint in usable if not search.is_doubtful(endpoint)
+        endpoint for endpoint in usable if not search.is_suspect(endpoint)
     ]
     return healthy or usable
 
--- a/src/kelproad/coordination/claimrows.py
+++ b/src/kelproad/coordination/claimrows.py
@@ -9,22 +9,28 @@
 from ..state.claims import ClaimRecord, ClaimState
 from ..transport.deadlines import monotonic
 
-__all__ = ['Trial', 'build_write', 'decode_row', 'is_open_row', 'read_row']
+__all__ = [
+    'PendingClaim',
+    'build_write',
+    'decode_row',
+    'is_open_row',
+    'read_row',
+]
 
 _TABLE = 'claims'
 
 
 @attrs.define
-class Trial:
+class PendingClaim:
     """A claim that is being written, in one try or several.
 
     Attributes
     ----------
-    mine
+    record
         The record to write.
     expect
         Version of the row that the next try replaces.
-    unsure
+    is_uncertain
         Whether a try was not answered, so that the row may exist or may still
         be written.
     error
@@ -32,14 +38,14 @@
     """
 
     key: str
-    mine: ClaimRecord
+    record: ClaimRecord
     expect: int = ABSENT
-    unsure: bool = False
+    is_uncertain: bool = False
     error: StoreError | None = None
 
     def write(self) -> Write:
         """Build the write of the next try."""
-        return build_write(self.key, self.mine, self.expect)
+        return build_write(self.key, self.record, self.expect)
 
 
 def build_write(key: str, record: ClaimRecord, expect: int) -> Write:
--- a/src/kelproad/coordination/claims.py
+++ b/src/kelproad/coordination/claims.py
@@ -20,14 +20,14 @@
 from ..state.counters import Counters
 from ..state.identity import Identity
 from ..transport.deadlines import monotonic
-from .claimrows import Trial, decode_row, read_row
+from .claimrows import PendingClaim, decode_row, read_row
 from .grouping import GroupedWrites
 from .settlements import Settlements
 from .verdicts import (
     MAX_RECORDED_BYTES,
     Acquired,
     Claim,
-    judge,
+    evaluate_row,
     refuse_unrecorded,
 )
 
@@ -100,7 +100,7 @@
             answer_due=time.time() + deadline - monotonic(),
         )
         limit = min(deadline, monotonic() + CLAIM_LIMIT)
-        pending = Trial(f'{workspace}/{key}', mine)
+        pending = PendingClaim(f'{workspace}/{key}', mine)
         outcome = await self._insert(pending, limit)
         self._count(outcome)
         return outcome
@@ -123,12 +123,12 @@
         wait = min(RECORD_WAIT, max(0, deadline - monotonic()))
         await asyncio.wait([settling], timeout=wait)
 
-    def record_run(self, claim: Claim) -> None:
+    def record_without_answer(self, claim: Claim) -> None:
         """Record in the background that the work ran, without an answer."""
         no_answer = RecordedAnswer(status=0, headers=[], body=None)
         self._settlements.settle(claim, ClaimState.DONE, no_answer)
 
-    def leave_unknown(self, claim: Claim) -> None:
+    def record_unknown(self, claim: Claim) -> None:
         """Record in the background that the work may or may not have run."""
         self._settlements.settle(claim, ClaimState.UNKNOWN)
 
@@ -152,7 +152,7 @@
 
     # Claiming
 
-    async def _insert(self, pending: Trial, limit: float) -> Acquired:
+    async def _insert(self, pending: PendingClaim, limit: float) -> Acquired:
         for _ in range(_MAX_TRIES):
             acquired = await self._try_insert(pending, limit)
             if acquired is not None:
@@ -161,13 +161,15 @@
 
     async def _try_insert(
         self,
-        pending: Trial,
+        pending: PendingClaim,
         limit: float,
     ) -> Acquired | None:
         """Write the claim once; ``None`` means that a retry is needed."""
         written = await self._writes.write(pending.write(), limit)
         if isinstance(written, Success):
-            return Success(Claim(pending.key, pending.mine, pending.expect + 1))
+            return Success(
+                Claim(pending.key, pending.record, pending.expect + 1)
+            )
         pending.error = written.failure()
         match pending.error.kind:
             case StoreErrorKind.CONFLICT:
@@ -176,12 +178,12 @@
                 # The row may exist, or appear later.  Writing the same row
                 # again shows which: it conflicts with the first write, or
                 # makes the first write conflict with it.
-                pending.unsure = True
+                pending.is_uncertain = True
                 return None
         return self._refuse(pending)
 
     async def _resolve_conflict(
-        self, pending: Trial, limit: float
+        self, pending: PendingClaim, limit: float
     ) -> Acquired | None:
         """Read the row in conflict; ``None`` if its key is free again."""
         found = await read_row(self._platform, pending.key, limit)
@@ -193,11 +195,11 @@
         if current.state is ClaimState.FREE:
             pending.expect = row.version
             return None
-        return judge(row, current, pending.mine)
+        return evaluate_row(row, current, pending.record)
 
-    def _refuse(self, pending: Trial) -> Acquired:
-        if pending.unsure:
-            self._settlements.take_back(pending)
+    def _refuse(self, pending: PendingClaim) -> Acquired:
+        if pending.is_uncertain:
+            self._settlements.release_abandoned(pending)
         silent = self._writes.silent_seconds
         return Failure(refuse_unrecorded(pending.error, silent))
 
--- a/src/kelproad/coordination/completions.py
+++ b/src/kelproad/coordination/completions.py
@@ -15,15 +15,15 @@
 from ..state.refusals import Refusal, RefusalCode
 from ..state.requests import Decision, Request
 from ..transport.deadlines import monotonic, within
-from .accounts import Accounts
-from .attempts import Attempts, CallerGoneError
+from .accounting import RequestAccounting
+from .attempts import Attempts, CallerDisconnectedError
 from .claims import Claim, Claims
 from .delivery import (
+    BufferedDelivery,
     StreamDelivery,
-    WholeDelivery,
     create_answer_buffers,
 )
-from .outcomes import refuse_gone, refuse_late, settle_outcome
+from .outcomes import refuse_disconnected, refuse_past_deadline, settle_outcome
 from .reception import Arrival
 from .segments import answer_in_parts
 from .sending import send_bounded
@@ -50,7 +50,7 @@
     def __init__(
         self,
         attempts: Attempts,
-        accounts: Accounts,
+        accounts: RequestAccounting,
         claims: Claims,
     ) -> None:
         """Answer by attempts, recorded in the accounts of the instance."""
@@ -102,7 +102,7 @@
         request: Request,
         body: CompletionBody,
         claim: Claim | None,
-    ) -> StreamDelivery | WholeDelivery:
+    ) -> StreamDelivery | BufferedDelivery:
         whole = request.service.delivery is Delivery.WHOLE
         parts = len(request.parts.records) if request.parts else 0
         if body.stream and claim is None and not whole:
@@ -111,7 +111,7 @@
                 request.request_id,
                 parts,
             )
-        return WholeDelivery(
+        return BufferedDelivery(
             body.stream,
             request.request_id,
             self._buffers,
@@ -123,10 +123,10 @@
         arrival: Arrival,
         request: Request,
         body: CompletionBody,
-        delivery: StreamDelivery | WholeDelivery,
+        delivery: StreamDelivery | BufferedDelivery,
     ) -> Result[None, Refusal]:
         decision = self._accounts.begin(request)
-        outcome: Result[None, Refusal] = Failure(refuse_late(request))
+        outcome: Result[None, Refusal] = Failure(refuse_past_deadline(request))
         if request.remaining(monotonic()) <= 0:
             # The process was paused after the claim until past the deadline.
             # The caller has given up, so the work must not begin.
@@ -142,9 +142,9 @@
                     delivery,
                 )
         except asyncio.TimeoutError:
-            outcome = Failure(refuse_late(request))
-        except CallerGoneError:
-            outcome = Failure(refuse_gone())
+            outcome = Failure(refuse_past_deadline(request))
+        except CallerDisconnectedError:
+            outcome = Failure(refuse_disconnected())
         finally:
             self._accounts.end(request, decision, outcome)
         return outcome.alt(request.complete_refusal).alt(
@@ -155,7 +155,7 @@
         """Add a Retry-After to a refusal after a transient failure."""
         if refusal.retry_after is not None or refusal.code not in _TRANSIENT:
             return refusal
-        pause = self._attempts.suggest_pause(request)
+        pause = self._attempts.suggest_retry_after(request)
         return attrs.evolve(refusal, retry_after=pause)
 
     async def _dispatch(
@@ -164,7 +164,7 @@
         request: Request,
         body: CompletionBody,
         decision: Decision,
-        delivery: StreamDelivery | WholeDelivery,
+        delivery: StreamDelivery | BufferedDelivery,
     ) -> Result[None, Refusal]:
         """Dispatch a request, in parts if its prompt is too large."""
         if request.parts is None:
--- a/src/kelproad/coordination/configuration.py
+++ b/src/kelproad/coordination/configuration.py
@@ -137,7 +137,7 @@
             )
         return loaded.map(lambda _snapshot: None)
 
-    def hear_member(self, member: Member) -> None:
+    def observe_member(self, member: Member) -> None:
         """Compare the local revision with the one in a member's record.
 
         Changes up to a higher revision are requested; the same revision
@@ -153,7 +153,7 @@
             self._requested_at = now
             self._request_changes(member.peer_address, self._choose_after(now))
 
-    async def take_changes(self, changes: Changes) -> None:
+    async def accept_changes(self, changes: Changes) -> None:
         """Adopt changes that a peer sent.
 
         A late answer may start from a revision that this instance has passed
--- a/src/kelproad/coordination/confirmation.py
+++ b/src/kelproad/coordination/confirmation.py
@@ -52,7 +52,7 @@
         self._read_task: asyncio.Task[bool] | None = None
         self._next_read_at = float('-inf')
 
-    async def ask(
+    async def resolve(
         self,
         lookup: Callable[[Snapshot], Result[T, Refusal]],
         snapshot: Snapshot,
--- a/src/kelproad/coordination/races.py
+++ b/src/kelproad/coordination/conflicts.py
@@ -8,11 +8,11 @@
 from ..state.refusals import Refusal, RefusalCode, Step
 from .history import FileRow, list_generations, read_generation, read_text
 
-__all__ = ['Raced', 'describe_race']
+__all__ = ['EditConflict', 'describe_conflict']
 
 
 @attrs.frozen
-class Raced:
+class EditConflict:
     """A refused submission whose base generation is not the newest.
 
     Attributes
@@ -29,12 +29,12 @@
     difference: str
 
 
-async def describe_race(
+async def describe_conflict(
     platform: PlatformClient,
     name: str,
     base: int,
     newest: int,
-) -> Raced:
+) -> EditConflict:
     """Collect the changes accepted since the generation ``base``."""
     listed = await list_generations(platform, name, base)
     rows = listed.value_or([])
@@ -51,7 +51,7 @@
         f'file was edited from generation {base}',
         Step.CONFIGURE,
     )
-    return Raced(refusal, rows, ''.join(difference))
+    return EditConflict(refusal, rows, ''.join(difference))
 
 
 async def _read_lines(
--- a/src/kelproad/coordination/delivery.py
+++ b/src/kelproad/coordination/delivery.py
@@ -15,9 +15,9 @@
 from ..state.buffers import BufferBudget
 from ..state.refusals import Ran, Refusal, RefusalCode, Step
 from ..transport.deadlines import monotonic, within
-from .answers import CallerGoneError, DeliveryError
+from .answers import CallerDisconnectedError, DeliveryError
 
-__all__ = ['StreamDelivery', 'WholeDelivery', 'create_answer_buffers']
+__all__ = ['StreamDelivery', 'BufferedDelivery', 'create_answer_buffers']
 
 #: Maximum bytes of one collected answer, about 30,000 tokens of events.
 _ANSWER_BYTES = 8_388_608
@@ -69,7 +69,7 @@
 
         Raises
         ------
-        CallerGoneError
+        CallerDisconnectedError
             When the caller has closed the connection.
         """
         written = completions.encode_events(event.payload for event in events)
@@ -78,7 +78,7 @@
                 self._response = await self._prepare()
             await self._response.write(written)
         except ConnectionError as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
 
     async def finish(self) -> web.StreamResponse:
         """End the answer after its terminal event."""
@@ -130,7 +130,7 @@
         return response
 
 
-class WholeDelivery:
+class BufferedDelivery:
     """Delivery of the answer as one response of known length.
 
     The events count towards a memory budget until the answer has been sent or
@@ -171,7 +171,7 @@
         """
         for event in events:
             size = len(event.payload)
-            if not self._reservation.take(size):
+            if not self._reservation.acquire(size):
                 fits_answer = self._reservation.fits_answer(size)
                 raise DeliveryError(_refuse_full(fits_answer))
             self._payloads.append(event.payload)
--- a/src/kelproad/coordination/drain.py
+++ b/src/kelproad/coordination/drain.py
@@ -82,28 +82,28 @@
         #: Timeouts of the calls in progress; all expire when the stop ends.
         self._timeouts: set[asyncio.Timeout] = set()
 
-    def measure_left(self) -> float:
+    def seconds_until_end(self) -> float:
         """Return the seconds until unfinished calls are interrupted.
 
         Infinite while no stop has been requested.
         """
         return self._ends_at - monotonic()
 
-    def measure_until_kill(self) -> float:
+    def seconds_until_kill(self) -> float:
         """Return the seconds until the kill, infinite if none is known."""
         return self._kill_at - monotonic()
 
-    def bound_closing(self, seconds: float) -> float:
+    def bound_shutdown_step(self, seconds: float) -> float:
         """Bound the time of a step after the end, to leave time for closing.
 
         On a busy machine, where each step takes all of its fixed time, these
         times add up to more than is left before the kill.
         """
-        left = self.measure_until_kill() - _CLOSING_SECONDS
+        left = self.seconds_until_kill() - _CLOSING_SECONDS
         return max(0, min(seconds, left))
 
     @property
-    def is_late(self) -> bool:
+    def has_grace_ended(self) -> bool:
         """Whether the grace for lagging balancers has passed.
 
         By the clock: the phase changes later when the event loop is busy.
@@ -125,14 +125,14 @@
         """Run the stop to its end; return the number of unfinished requests."""
         await asyncio.sleep(self._grace)
         self.phase = DrainPhase.REFUSING
-        await self.settle(self.measure_left())
+        await self.wait_until_idle(self.seconds_until_end())
         # Without calls in progress a stop ends early.  With the old end, calls
         # that arrive while the process closes would seem to have time left,
         # be accepted, and be interrupted a tenth of a second later.
         self._ends_at = min(self._ends_at, monotonic())
         return self._count_unfinished()
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_until_idle(self, seconds: float) -> None:
         """Wait until no call is unfinished, at most some seconds."""
         limit = monotonic() + seconds
         while self._count_unfinished() and monotonic() < limit:
@@ -159,7 +159,7 @@
                 raise StopEndedError from None
             raise
 
-    def end(self) -> int:
+    def interrupt_calls(self) -> int:
         """Interrupt the calls in progress, so that each can still be answered.
 
         Otherwise the exit of the process closes connections on which callers
--- a/src/kelproad/coordination/dump.py
+++ b/src/kelproad/coordination/dump.py
@@ -14,7 +14,7 @@
 from .configuration import ConfigurationFollower
 from .lag import describe_lag, summarize_zones
 from .membership import Membership
-from .orders import OrderKeeper
+from .orders import OrderController
 from .reclamation import Canceller
 
 __all__ = ['Dump']
@@ -34,7 +34,7 @@
     follower: ConfigurationFollower
     membership: Membership
     canceller: Canceller
-    orders: OrderKeeper
+    orders: OrderController
 
     def summarize(self) -> Fields:
         """Summarize the site as far as this instance knows it."""
--- a/src/kelproad/coordination/ejection.py
+++ b/src/kelproad/coordination/ejection.py
@@ -11,11 +11,11 @@
 from ..state.counters import Counters
 from ..state.endpoints import Endpoint, EndpointTable
 from ..state.refusals import Refusal, RefusalCode
-from .candidates import SILENT_AFTER
+from .candidates import REPORT_TIMEOUT
 from .policies import Choice
 from .prediction import learn_rate
 
-__all__ = ['note_outcome', 'note_stall']
+__all__ = ['record_outcome', 'record_stall']
 
 #: Consecutive failures after which an endpoint is ejected.
 _FAILURES_TO_EJECT = 3
@@ -26,7 +26,7 @@
 _MAX_EJECTED_FRACTION = 0.5
 
 
-def note_outcome(
+def record_outcome(
     table: EndpointTable,
     endpoint: Endpoint,
     refusal: Refusal | None,
@@ -46,7 +46,7 @@
         _record_failure(table, endpoint, now, counters)
 
 
-def note_stall(
+def record_stall(
     table: EndpointTable,
     choice: Choice,
     prompt_tokens: int,
@@ -60,7 +60,7 @@
     reports is considered slow, and the elapsed time updates its learned rate.
     """
     endpoint = choice.endpoint
-    if now - endpoint.reported_at > SILENT_AFTER:
+    if now - endpoint.reported_at > REPORT_TIMEOUT:
         _record_failure(table, endpoint, now, counters)
     else:
         learn_rate(choice.best, prompt_tokens, now - choice.chosen_at)
--- a/src/kelproad/coordination/endings.py
+++ b/src/kelproad/coordination/endings.py
@@ -6,9 +6,9 @@
 
 from ..state.refusals import Ran, Refusal, RefusalCode, Step
 from ..state.requests import Request
-from .reception import Arrival, refuse_leaving
+from .reception import Arrival, refuse_stopping
 
-__all__ = ['break_off', 'may_have_run', 'refuse_cut']
+__all__ = ['abort_answer', 'may_have_run', 'refuse_interrupted']
 
 _logger = logging.getLogger(__name__)
 #: Status of the response on a connection that was aborted.
@@ -26,13 +26,13 @@
     return request.attempts > 0
 
 
-def refuse_cut(was_dispatched: bool) -> Refusal:
+def refuse_interrupted(was_dispatched: bool) -> Refusal:
     """Refuse a request that was in progress when a stop ended.
 
     A request that was sent to an endpoint may have run there.
     """
     if not was_dispatched:
-        return refuse_leaving()
+        return refuse_stopping()
     return Refusal(
         RefusalCode.ENDPOINT_FAILED,
         'this instance stopped before the answer was complete',
@@ -41,7 +41,7 @@
     )
 
 
-def break_off(arrival: Arrival) -> web.Response:
+def abort_answer(arrival: Arrival) -> web.Response:
     """Abort a connection, so that the answer can't appear complete."""
     _logger.warning('answer aborted by the end of the stop')
     transport = arrival.http_request.transport
--- a/src/kelproad/coordination/entry.py
+++ b/src/kelproad/coordination/entry.py
@@ -22,15 +22,15 @@
 from ..state.requests import Phase, Request
 from ..transport.deadlines import monotonic
 from ..transport.services import BackgroundService
-from .accounts import Accounts
+from .accounting import RequestAccounting
 from .admitting import Admitter
 from .claims import Claim, Claims, digest_request
 from .completions import Completions
 from .configuration import ConfigurationFollower
 from .drain import Drain, StopEndedError
-from .endings import break_off, may_have_run, refuse_cut
+from .endings import abort_answer, may_have_run, refuse_interrupted
 from .limits import WorkspaceLimits
-from .outcomes import refuse_late, repeat_answer, settle_outcome
+from .outcomes import refuse_past_deadline, repeat_answer, settle_outcome
 from .plain import PlainCalls
 from .reception import (
     RECEIVE_TIMEOUT,
@@ -39,7 +39,7 @@
     admit_completion,
     admit_plain,
 )
-from .sending import send_whole
+from .sending import send_response
 
 __all__ = ['ANSWER_BEGUN', 'Entry']
 
@@ -67,7 +67,7 @@
         identity: Identity,
         holder: SnapshotHolder,
         follower: ConfigurationFollower,
-        accounts: Accounts,
+        accounts: RequestAccounting,
         completions: Completions,
         plain_calls: PlainCalls,
         key_claims: Claims,
@@ -146,7 +146,7 @@
         self._open_calls += 1
         try:
             response = await answer(call)
-            await send_whole(call, response)
+            await send_response(call, response)
         finally:
             self._open_calls -= 1
         return response
@@ -217,9 +217,9 @@
                     claim,
                 )
         except StopEndedError:
-            refusal = refuse_cut(may_have_run(request))
+            refusal = refuse_interrupted(may_have_run(request))
         if arrival.http_request.get(ANSWER_BEGUN, False):
-            return break_off(arrival)
+            return abort_answer(arrival)
         if claim is not None and not claim.settled:
             await settle_outcome(self._claims, claim, request, Failure(refusal))
         return self._accounts.refuse(refusal, request.request_id)
@@ -259,11 +259,11 @@
             request.deadline,
         )
         if isinstance(acquired, Failure):
-            self._accounts.note_unworked(request, acquired)
+            self._accounts.record_unstarted(request, acquired)
             return self._accounts.refuse(acquired.failure(), request.request_id)
         claim = acquired.unwrap()
         if isinstance(claim, RecordedAnswer):
-            self._accounts.note_unworked(request, acquired)
+            self._accounts.record_unstarted(request, acquired)
             return repeat_answer(claim, request.request_id)
         try:
             if body is None:
@@ -272,7 +272,7 @@
         finally:
             # An unexpected error may have occurred after the dispatch.
             if not claim.settled:
-                self._claims.leave_unknown(claim)
+                self._claims.record_unknown(claim)
 
     # Plain services
 
@@ -291,7 +291,9 @@
             body=arrival.body,
             deadline=request.deadline,
         )
-        outcome: Result[web.Response, Refusal] = Failure(refuse_late(request))
+        outcome: Result[web.Response, Refusal] = Failure(
+            refuse_past_deadline(request)
+        )
         try:
             async with self._drain.until_end():
                 answered = await self._plain_calls.answer(
@@ -307,7 +309,9 @@
                 ),
             )
         except StopEndedError:
-            outcome = Failure(refuse_cut(request.phase is not Phase.ADMITTED))
+            outcome = Failure(
+                refuse_interrupted(request.phase is not Phase.ADMITTED)
+            )
         finally:
             self._accounts.end(request, decision, outcome)
         outcome = outcome.alt(request.complete_refusal)
--- a/src/kelproad/coordination/failures.py
+++ b/src/kelproad/coordination/failures.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ..state.orders import DesiredState, EngineState, ModelPhase, ModelState
-from .rollout import Failed
+from .rollout import FailedVersion
 
 __all__ = ['LoadFailures']
 
@@ -21,11 +21,13 @@
 
     def __init__(self) -> None:
         """Start without failures; see ``restore`` for the stopped versions."""
-        self.stopped: frozenset[Failed] = frozenset()
+        self.stopped: frozenset[FailedVersion] = frozenset()
         #: Monotonic time before which an engine gets no new load, by name.
         self.not_before: dict[str, float] = {}
         self._counted_loads: dict[tuple[str, str], tuple[str, int]] = {}
-        self._failures: collections.Counter[Failed] = collections.Counter()
+        self._failures: collections.Counter[FailedVersion] = (
+            collections.Counter()
+        )
 
     def note(
         self,
@@ -49,7 +51,7 @@
         wanted = {item.model: item for item in desired.models}.get(held.model)
         if held.retry_after or wanted is None:
             return False
-        failed = Failed(held.model, held.version, wanted.generation)
+        failed = FailedVersion(held.model, held.version, wanted.generation)
         self._failures[failed] += 1
         if failed in self.stopped or self._failures[failed] < FAILURES_TO_STOP:
             return False
@@ -76,5 +78,5 @@
 
     def restore(self, note: str) -> None:
         """Replace the stopped versions by those of the previous holder."""
-        decoded = msgspec.json.decode(note or '[]', type=list[Failed])
+        decoded = msgspec.json.decode(note or '[]', type=list[FailedVersion])
         self.stopped = frozenset(decoded)
--- a/src/kelproad/coordination/feasibility.py
+++ b/src/kelproad/coordination/feasibility.py
@@ -13,7 +13,7 @@
 from .policies import Choice
 from .prediction import Candidate
 
-__all__ = ['learn_stretch', 'measure_lateness', 'refuse_hopeless']
+__all__ = ['learn_first_token_ratio', 'measure_lateness', 'refuse_infeasible']
 
 #: First tokens to observe before predictions may refuse requests.
 _MIN_OBSERVATIONS = 10
@@ -30,7 +30,7 @@
 _MAX_RATIO = 4.0
 
 
-def learn_stretch(
+def learn_first_token_ratio(
     table: EndpointTable,
     choice: Choice,
     prompt_tokens: int,
@@ -41,7 +41,7 @@
         return
     observed = (now - choice.chosen_at) / choice.best.predicted
     bounded = min(max(observed, _MIN_RATIO), _MAX_RATIO)
-    table.stretch[classify_length(prompt_tokens)].observe(bounded)
+    table.first_token_ratios[classify_length(prompt_tokens)].observe(bounded)
 
 
 def measure_lateness(
@@ -57,7 +57,7 @@
     prefill rate may have been learned under load.
     """
     remaining = request.remaining(now)
-    ratio = table.stretch[classify_length(request.prompt_tokens)]
+    ratio = table.first_token_ratios[classify_length(request.prompt_tokens)]
     if ratio.observations < _MIN_OBSERVATIONS or not best.predicted:
         return 0
     if best.waiting * ratio.value <= remaining * _QUEUE_FRACTION:
@@ -66,7 +66,7 @@
     return max(0, expected - remaining * _FIRST_TOKEN_FRACTION)
 
 
-def refuse_hopeless(
+def refuse_infeasible(
     request: Request,
     best: Candidate,
     late: float,
--- a/src/kelproad/coordination/fileapi.py
+++ b/src/kelproad/coordination/fileapi.py
@@ -11,8 +11,13 @@
 from ..state.problems import Problem
 from ..state.refusals import Refusal, RefusalCode, Step
 from .acceptance import ConfigurationWriter, Submission
-from .history import STORE_TIMEOUT, list_generations, read_generation, read_text
-from .races import Raced
+from .conflicts import EditConflict
+from .history import (
+    HISTORY_TIMEOUT,
+    list_generations,
+    read_generation,
+    read_text,
+)
 
 __all__ = ['FileApi', 'answer_json']
 
@@ -164,10 +169,12 @@
     )
 
 
-def _answer_failed(failed: Refusal | list[Problem] | Raced) -> web.Response:
+def _answer_failed(
+    failed: Refusal | list[Problem] | EditConflict,
+) -> web.Response:
     if isinstance(failed, Refusal):
         return callers.answer_refusal(failed, '')
-    if isinstance(failed, Raced):
+    if isinstance(failed, EditConflict):
         return _answer_refusal(
             failed.refusal.code,
             failed.refusal.message,
@@ -201,7 +208,7 @@
             f'{error.operation}: {error.message}',
             Step.STORE,
             peer=error.peer,
-            retry_after=STORE_TIMEOUT,
+            retry_after=HISTORY_TIMEOUT,
         ),
         '',
     )
--- a/src/kelproad/coordination/gossip.py
+++ b/src/kelproad/coordination/gossip.py
@@ -18,7 +18,7 @@
 from ..state.members import Member, MemberTable
 from ..state.placement import choose_owners
 
-__all__ = ['PERIOD', 'Place', 'Gossiper']
+__all__ = ['PERIOD', 'Location', 'Gossiper']
 
 #: Seconds between two rounds of messages.
 PERIOD = 0.5
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class Place:
+class Location:
     """Where an instance runs and receives messages."""
 
     name: str
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        place: Place,
+        place: Location,
         members: MemberTable,
         generator: random.Random,
     ) -> None:
@@ -151,7 +151,7 @@
         self._record_held(address, packed.values())
         return self._add_suspicion(address, list(packed.values()), now)
 
-    def note_received(self, members: list[Member]) -> None:
+    def record_received(self, members: list[Member]) -> None:
         """Record that a sender holds the records that it sent."""
         if members:
             self._record_held(members[0].peer_address, members)
@@ -169,7 +169,7 @@
         """Deduct sent bytes from the allowance, which may become negative."""
         self._allowance -= sent_bytes
 
-    def keep_peers(self, addresses: Iterable[str]) -> None:
+    def retain_peers(self, addresses: Iterable[str]) -> None:
         """Forget which records the peers at all other addresses hold."""
         kept = set(addresses)
         self._held_by_peer = {
@@ -335,13 +335,13 @@
     def _choose_interval(self, address: str, member: Member) -> int:
         """Return how many versions a peer may lag before it gets one."""
         if member.zone != self._place.zone:
-            return self._members.far_interval
+            return self._members.cross_zone_interval
         stride = self._strides.get(address, 0)
         behind = self._ring_distances.get(member.name, stride)
         return 1 if behind < stride else _REDUNDANT_INTERVAL
 
     def _age_load(self, member: Member, now: float) -> Member:
-        waited = now - self._members.load_heard_at(member.name)
+        waited = now - self._members.load_received_at(member.name)
         aged = self._members.age_record(member, now)
         return attrs.evolve(aged, held=round(member.held + waited, 2))
 
--- a/src/kelproad/coordination/history.py
+++ b/src/kelproad/coordination/history.py
@@ -18,7 +18,7 @@
 T = TypeVar('T')
 
 __all__ = [
-    'STORE_TIMEOUT',
+    'HISTORY_TIMEOUT',
     'FileRow',
     'Head',
     'digest_text',
@@ -26,7 +26,7 @@
     'list_files',
     'list_generations',
     'list_revisions',
-    'list_writes',
+    'build_commit_writes',
     'read_generation',
     'read_head',
     'read_text',
@@ -34,7 +34,7 @@
 ]
 
 #: Seconds for one call to the store.
-STORE_TIMEOUT = 2.0
+HISTORY_TIMEOUT = 2.0
 #: Holds the head and the newest rows; the other tables hold copies of rows.
 _TABLE = 'configuration'
 _REVISION_TABLE = 'configuration-history'
@@ -83,7 +83,7 @@
 # Writing
 
 
-def list_writes(row: FileRow, head: Head) -> list[Write]:
+def build_commit_writes(row: FileRow, head: Head) -> list[Write]:
     """List the writes of the transaction that commits a change.
 
     The condition on the head makes a late write fail once another change was
@@ -116,7 +116,7 @@
     stored = await platform.put_object(
         f'configuration/{digest}',
         text.encode(),
-        STORE_TIMEOUT,
+        HISTORY_TIMEOUT,
     )
     return stored.map(lambda _nothing: digest)
 
@@ -126,7 +126,7 @@
 
 async def read_head(platform: PlatformClient) -> Result[Head, StoreError]:
     """Read the head; revision 0 when nothing was ever accepted."""
-    found = await platform.read_row(_TABLE, _HEAD, STORE_TIMEOUT)
+    found = await platform.read_row(_TABLE, _HEAD, HISTORY_TIMEOUT)
     return found.bind(_decode_head)
 
 
@@ -135,7 +135,7 @@
     apply_id: str,
 ) -> Result[FileRow | None, StoreError]:
     """Find the change accepted under an apply id, ``None`` if there is none."""
-    found = await platform.read_row(_APPLY_TABLE, apply_id, STORE_TIMEOUT)
+    found = await platform.read_row(_APPLY_TABLE, apply_id, HISTORY_TIMEOUT)
     return found.bind(lambda row: _decode_row(row, _APPLY_TABLE))
 
 
@@ -148,7 +148,7 @@
     found = await platform.read_row(
         _GENERATION_TABLE,
         _encode_generation_key(name, generation),
-        STORE_TIMEOUT,
+        HISTORY_TIMEOUT,
     )
     return found.bind(lambda row: _decode_row(row, _GENERATION_TABLE))
 
@@ -190,7 +190,7 @@
     """Fetch the text with a digest; a text that doesn't match is an error."""
     fetched = await platform.get_object(
         f'configuration/{digest}',
-        STORE_TIMEOUT,
+        HISTORY_TIMEOUT,
     )
     return fetched.bind(lambda body: _verify(body, digest))
 
@@ -206,7 +206,7 @@
     while True:
         page = await platform.scan_rows(
             table,
-            STORE_TIMEOUT,
+            HISTORY_TIMEOUT,
             prefix=prefix,
             after=rows[-1].key if rows else after,
             limit=_PAGE_ROWS,
--- a/src/kelproad/coordination/ingress/accounting.py
+++ b/src/kelproad/coordination/ingress/accounting.py
@@ -18,7 +18,7 @@
     ) -> None:
         """Derive the work from a placement; nothing is recorded yet."""
         self._ledger = ledger
-        first = placement.first.name
+        first = placement.primary.name
         reserved = sum(share.tokens for share in placement.shares)
         needed = call.head.prompt_tokens + call.head.answer_tokens
         self._held = [
@@ -27,7 +27,7 @@
                 EndpointWork(
                     calls=1,
                     context_tokens=needed - reserved,
-                    patient_calls=placement.patient,
+                    patient_calls=placement.gap_tolerant,
                 ),
             ),
             *(
@@ -44,7 +44,7 @@
         )
         self._prefills = [
             (endpoint.name, part)
-            for endpoint in (placement.first, *placement.helpers)
+            for endpoint in (placement.primary, *placement.helpers)
         ]
         self._prefilling = False
 
--- a/src/kelproad/coordination/ingress/assembly.py
+++ b/src/kelproad/coordination/ingress/assembly.py
@@ -18,21 +18,21 @@
 from .choosing import Chooser
 from .dialect import Dialect
 from .dispatching import Dispatcher
-from .entrance import Entrance
+from .entrance import CallHandler
 from .exchange import WorkExchange
 from .holder import ConfigurationHolder
-from .memory import MemoryKeeper
+from .memory import MemoryReserver
 from .queries import PeerQueries
-from .reach import ZoneReach
+from .reachability import ZoneReachability
+from .retries import RetryBudgets
 from .sending import Sender
 from .settings import Bounds
-from .sharing import SharedRetries
 from .spillover import ZoneSpillover
 from .stopping import StopGuard
-from .verdicts import Verdicts
-from .watching import EngineWatch
+from .verdicts import AttemptEvaluator
+from .watching import EngineSpeedMonitor
 
-__all__ = ['CallPath', 'SharedState']
+__all__ = ['CallPipeline', 'SharedState']
 
 
 @attrs.frozen
@@ -57,7 +57,7 @@
     holder: ConfigurationHolder
     table: EndpointTable
     ledger: WorkLedger
-    reach: ZoneReach
+    reach: ZoneReachability
     observations: EngineObservations
     drain: Drain
     counters: Counters
@@ -68,11 +68,11 @@
 
 
 @attrs.frozen
-class CallPath:
+class CallPipeline:
     """The handler of calls, and the memory that it reserves at engines."""
 
-    entrance: Entrance
-    memory: MemoryKeeper
+    handler: CallHandler
+    memory: MemoryReserver
 
     @classmethod
     def from_state(
@@ -83,8 +83,8 @@
     ) -> Self:
         """Build the components; calls to endpoints use the session."""
         orders = shared.dialect.open_orders(session)
-        memory = MemoryKeeper(orders, shared.read_bounds)
-        watch = EngineWatch(
+        memory = MemoryReserver(orders, shared.read_bounds)
+        watch = EngineSpeedMonitor(
             shared.instance,
             shared.holder,
             shared.ledger,
@@ -100,7 +100,7 @@
             shared.read_bounds,
             shared.generator,
         )
-        entrance = Entrance(
+        handler = CallHandler(
             shared.dialect,
             shared.holder,
             shared.measure_age,
@@ -115,18 +115,18 @@
             ),
             shared.counters,
         )
-        return cls(entrance, memory)
+        return cls(handler, memory)
 
 
 def _create_dispatcher(
     shared: SharedState,
     exchange: WorkExchange,
     client: EndpointClient,
-    memory: MemoryKeeper,
-    watch: EngineWatch,
+    memory: MemoryReserver,
+    watch: EngineSpeedMonitor,
     stop_guard: StopGuard,
 ) -> Dispatcher:
-    retries = SharedRetries(
+    retries = RetryBudgets(
         shared.read_bounds,
         lambda: exchange.peers.count_live(monotonic()),
     )
@@ -153,7 +153,7 @@
     return Dispatcher(
         chooser,
         sender,
-        Verdicts(
+        AttemptEvaluator(
             shared.table,
             retries,
             shared.reach,
--- a/src/kelproad/coordination/ingress/attempts.py
+++ b/src/kelproad/coordination/ingress/attempts.py
@@ -25,14 +25,14 @@
 from ...state.endpoints import Endpoint
 from ...state.refusals import Ran
 from ...transport.deadlines import monotonic, within
-from ...transport.http import ConnectionLostError, watch_end
+from ...transport.http import ConnectionLostError, create_end_check
 from .dialect import Dialect
 
 __all__ = [
     'AttemptFailure',
     'EndpointClient',
     'OpenAnswer',
-    'WholeAnswer',
+    'CompleteAnswer',
 ]
 
 #: Seconds for connecting: an engine without power never answers, and a short
@@ -59,7 +59,7 @@
     blameless
         Whether the failure is not attributed to the endpoint, such as an
         expired deadline.
-    avoid
+    exclude
         Name of another endpoint to exclude from the next attempt.
     misdirected
         Whether another endpoint has the address now.
@@ -72,13 +72,13 @@
     arrived: bool = True
     fault: str = ''
     blameless: bool = False
-    avoid: str = ''
+    exclude: str = ''
     misdirected: bool = False
-    answer: 'WholeAnswer | None' = None
+    answer: 'CompleteAnswer | None' = None
 
 
 @attrs.frozen
-class WholeAnswer:
+class CompleteAnswer:
     """An answer with its complete body."""
 
     head: AnswerHead
@@ -189,7 +189,7 @@
         except (aiohttp.ClientError, OSError) as error:
             return Failure(_fail(progress, repr(error), blameless=False))
         head = self._dialect.read_answer_head(response, call.request_id)
-        answer = OpenAnswer(head, response, watch_end(response))
+        answer = OpenAnswer(head, response, create_end_check(response))
         return await self._classify(answer, deadline)
 
     async def _send(
@@ -225,7 +225,7 @@
         if head.outcome is Outcome.ERROR:
             return Failure(await _collect_error(answer, deadline))
         answer.close()
-        if head.outcome is Outcome.CROSSED:
+        if head.outcome is Outcome.MISMATCHED:
             return Failure(
                 AttemptFailure('answer to another call', Ran.UNKNOWN),
             )
@@ -242,7 +242,7 @@
 async def collect(
     answer: OpenAnswer,
     deadline: float,
-) -> Result[WholeAnswer, AttemptFailure]:
+) -> Result[CompleteAnswer, AttemptFailure]:
     """Read the complete body of an answer, and close the answer."""
     received = bytearray()
     try:
@@ -261,10 +261,10 @@
         return _fail_executed(f'the body was truncated: {error!r}')
     finally:
         answer.close()
-    return Success(WholeAnswer(answer.head, bytes(received)))
+    return Success(CompleteAnswer(answer.head, bytes(received)))
 
 
-def _fail_executed(reason: str) -> Result[WholeAnswer, AttemptFailure]:
+def _fail_executed(reason: str) -> Result[CompleteAnswer, AttemptFailure]:
     return Failure(AttemptFailure(reason, Ran.YES))
 
 
--- a/src/kelproad/coordination/ingress/caching.py
+++ b/src/kelproad/coordination/ingress/caching.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Generic
 
-from .decoding import DecodedRow, DecodedState, Said
+from .decoding import DecodedRow, DecodedState, Payload
 from .tablestates import TableState
 
 __all__ = ['TableCache']
@@ -20,24 +20,26 @@
 _MAX_DROPPED = 1_000
 
 
-class TableCache(Generic[Said]):
+class TableCache(Generic[Payload]):
     """Rows of one table, and which of them changed since a version."""
 
-    def __init__(self, is_equivalent: Callable[[Said, Said], bool]) -> None:
+    def __init__(
+        self, is_equivalent: Callable[[Payload, Payload], bool]
+    ) -> None:
         """Start empty.
 
         ``is_equivalent`` returns whether a row holds no new information
         compared with the one before it.
         """
         self._is_equivalent = is_equivalent
-        self._rows: dict[str, DecodedRow[Said]] = {}
+        self._rows: dict[str, DecodedRow[Payload]] = {}
         self._version: int | None = None
         #: Version of the newest change with new information.
         self.changed_at = 0
         #: Version after which all changes are known.
         self._complete_since = 0
 
-    def take(self, state: DecodedState[Said]) -> None:
+    def update(self, state: DecodedState[Payload]) -> None:
         """Store all rows that were read, or those that changed."""
         if state.whole:
             self._rows = {}
@@ -78,12 +80,12 @@
 
     def _is_unchanged(
         self,
-        known: DecodedRow[Said],
-        decoded: DecodedRow[Said],
+        known: DecodedRow[Payload],
+        decoded: DecodedRow[Payload],
     ) -> bool:
         if known.row.encoded is None or decoded.row.encoded is None:
             return False
-        return self._is_equivalent(known.said, decoded.said)
+        return self._is_equivalent(known.payload, decoded.payload)
 
     def _forget_dropped(self) -> None:
         dropped = [
--- a/src/kelproad/coordination/ingress/choosing.py
+++ b/src/kelproad/coordination/ingress/choosing.py
@@ -11,10 +11,10 @@
 from ...state.work import WorkLedger
 from ...transport.deadlines import monotonic
 from .holder import ConfigurationHolder
-from .placement import Candidate, Need, Placement, Unplaced
-from .placing import choose_engines, choose_plain
+from .placement import CallRequirements, Candidate, NoPlacementError, Placement
 from .progress import Progress
-from .reach import ZoneReach
+from .reachability import ZoneReachability
+from .selection import choose_engines, choose_plain
 from .spillover import ZoneSpillover
 
 __all__ = ['Chooser']
@@ -37,7 +37,7 @@
         holder: ConfigurationHolder,
         table: EndpointTable,
         ledger: WorkLedger,
-        reach: ZoneReach,
+        reach: ZoneReachability,
         observations: EngineObservations,
         spillover: ZoneSpillover,
         generator: random.Random,
@@ -57,7 +57,7 @@
 
         Raises
         ------
-        Unplaced
+        NoPlacementError
             When no endpoint can accept the call now.
         """
         endpoints = self._table.in_group(call.service)
@@ -96,12 +96,12 @@
 
         Raises
         ------
-        Unplaced
+        NoPlacementError
             When no endpoint can accept the call now.
         """
         healthy, usable = self._filter_healthy(endpoints, call, progress, now)
         left = healthy if healthy_only else healthy or usable
-        max_endpoints = call.route.most_endpoints
+        max_endpoints = call.route.max_endpoints
         candidates = [
             self._describe(
                 endpoint,
@@ -114,16 +114,18 @@
         if profile is None:
             work_seconds = call.route.objective * _PLAIN_WORK_SHARE
             return choose_plain(candidates, self._generator, work_seconds)
-        need = Need(
+        need = CallRequirements(
             prompt_tokens=call.head.prompt_tokens,
             memory_tokens=call.head.prompt_tokens + call.head.answer_tokens,
             objective=call.route.objective,
             waited=now - call.arrived,
-            patience=call.route.patience,
+            silence_timeout=call.route.silence_timeout,
         )
         placement = choose_engines(candidates, need, profile, self._generator)
-        patient = profile.pauses.is_patient(call.route.gap_objective)
-        return attrs.evolve(placement, patient=patient)
+        gap_tolerant = profile.stall_limits.is_gap_tolerant(
+            call.route.gap_objective
+        )
+        return attrs.evolve(placement, gap_tolerant=gap_tolerant)
 
     def _choose_local(self, call: Call, progress: Progress) -> Placement | None:
         """Choose among the healthy engines of the local zone, if one can."""
@@ -136,7 +138,7 @@
                 monotonic(),
                 healthy_only=True,
             )
-        except Unplaced as unplaced:
+        except NoPlacementError as unplaced:
             _logger.debug('not placed in the local zone: %s', unplaced.reason)
             return None
 
@@ -147,7 +149,11 @@
         """Exclude engines of zones that did not report their work."""
         now = monotonic()
         zones = {endpoint.declaration.zone for endpoint in endpoints}
-        known = {zone for zone in zones if self._spillover.knows(zone, now)}
+        known = {
+            zone
+            for zone in zones
+            if self._spillover.has_current_work(zone, now)
+        }
         return [
             endpoint
             for endpoint in endpoints
@@ -199,7 +205,7 @@
     ) -> set[str]:
         """List zones that are probably unreachable and not due for a probe."""
         zones = {endpoint.declaration.zone for endpoint in usable}
-        suspect = {zone for zone in zones if self._reach.is_doubtful(zone, now)}
+        suspect = {zone for zone in zones if self._reach.is_suspect(zone, now)}
         if not call.kind.repeatable:
             return suspect
         return {
@@ -217,7 +223,7 @@
         # A prompt fails if any of its parts fails, so a suspect zone is probed
         # with undivided prompts only.
         may_help = not (
-            self._reach.is_doubtful(zone, now)
+            self._reach.is_suspect(zone, now)
             or self._observations.refuses_help(endpoint.name, now)
         )
         return Candidate(
@@ -233,7 +239,7 @@
 
 def _is_eligible(endpoint: Endpoint, now: float) -> bool:
     """Return whether an endpoint may get calls at all, healthy or not."""
-    return not endpoint.leaving and endpoint.disowned_until <= now
+    return not endpoint.leaving and endpoint.misdirected_until <= now
 
 
 def _is_healthy(endpoint: Endpoint, repeatable: bool, now: float) -> bool:
--- a/src/kelproad/coordination/ingress/decoding.py
+++ b/src/kelproad/coordination/ingress/decoding.py
@@ -14,19 +14,19 @@
 
 __all__ = ['DecodedRow', 'DecodedState']
 
-Said = TypeVar('Said')
+Payload = TypeVar('Payload')
 
 
 @attrs.frozen
-class DecodedRow(Generic[Said]):
+class DecodedRow(Generic[Payload]):
     """A row of the store with its decoded content."""
 
     row: StoredRow
-    said: Said
+    payload: Payload
 
 
 @attrs.frozen
-class DecodedState(Generic[Said]):
+class DecodedState(Generic[Payload]):
     """Rows of a table with their decoded content.
 
     Attributes
@@ -38,15 +38,15 @@
     """
 
     version: int
-    rows: list[DecodedRow[Said]]
+    rows: list[DecodedRow[Payload]]
     whole: bool
 
     @classmethod
     def from_state(
         cls,
         state: TableState,
-        decode: Callable[[StoredRow], Said],
-    ) -> 'DecodedState[Said]':
+        decode: Callable[[StoredRow], Payload],
+    ) -> 'DecodedState[Payload]':
         """Decode each row of a state."""
         rows = [DecodedRow(row, decode(row)) for row in state.rows]
         return cls(state.version, rows, state.whole)
--- a/src/kelproad/coordination/ingress/delivery.py
+++ b/src/kelproad/coordination/ingress/delivery.py
@@ -10,10 +10,10 @@
 from ...transport.servers import finish_answer
 from .attempts import OpenAnswer
 
-__all__ = ['CallerLeftError', 'StreamDelivery']
+__all__ = ['CallerDisconnectedError', 'StreamDelivery']
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection."""
 
 
@@ -53,7 +53,7 @@
         ------
         SequenceError
             When the bytes are not the events that come next.
-        CallerLeftError
+        CallerDisconnectedError
             When the caller has disconnected.
         """
         events = self.cutter.feed(chunk)
@@ -67,7 +67,7 @@
                 b''.join(event.encoded for event in events),
             )
         except ConnectionError as error:
-            raise CallerLeftError from error
+            raise CallerDisconnectedError from error
         return len(events)
 
     async def finish(self, answer: OpenAnswer) -> web.StreamResponse:
@@ -79,7 +79,7 @@
                 await self._prepare(answer.head)
             await finish_answer(self._http_request, self._response)
         except ConnectionError as error:
-            raise CallerLeftError from error
+            raise CallerDisconnectedError from error
         return self._response
 
     def abort(self) -> web.StreamResponse:
--- a/src/kelproad/coordination/ingress/dialect.py
+++ b/src/kelproad/coordination/ingress/dialect.py
@@ -14,7 +14,7 @@
 
 from ...state.calls import AnswerHead, Call, CallHead, Forwarding
 from ...state.refusals import Refusal
-from .memory import EngineOrders
+from .memory import EngineOperations
 
 __all__ = ['Dialect']
 
@@ -31,7 +31,7 @@
         Encode the headers of a call to an endpoint, from those of the caller.
     read_answer_head
         Decode the head of an endpoint's answer to the request with an id.
-    answer_own
+    build_refusal
         Build the answer to a refused call, from refusal and request id.
     open_orders
         Build the client for orders to engines, over a session.
@@ -45,6 +45,6 @@
         CIMultiDict[str],
     ]
     read_answer_head: Callable[[aiohttp.ClientResponse, str], AnswerHead]
-    answer_own: Callable[[Refusal, str], web.Response]
-    open_orders: Callable[[aiohttp.ClientSession], EngineOrders]
+    build_refusal: Callable[[Refusal, str], web.Response]
+    open_orders: Callable[[aiohttp.ClientSession], EngineOperations]
     ready_path: str
--- a/src/kelproad/coordination/ingress/dispatching.py
+++ b/src/kelproad/coordination/ingress/dispatching.py
@@ -24,12 +24,12 @@
 from .attempts import AttemptFailure
 from .choosing import Chooser
 from .delivery import StreamDelivery
-from .placement import Placement, Unplaced
+from .placement import NoPlacementError, Placement
 from .progress import Progress
+from .retries import RetryBudgets
 from .sending import Sender
-from .sharing import SharedRetries
 from .stopping import StopGuard, refuse_stopping
-from .verdicts import ANSWER_MARGIN, Verdicts, find_blamed
+from .verdicts import ANSWER_MARGIN, AttemptEvaluator, find_faulty_endpoint
 
 __all__ = ['Dispatcher']
 
@@ -46,8 +46,8 @@
         self,
         chooser: Chooser,
         sender: Sender,
-        verdicts: Verdicts,
-        retries: SharedRetries,
+        verdicts: AttemptEvaluator,
+        retries: RetryBudgets,
         ledger: WorkLedger,
         stop_guard: StopGuard,
         counters: Counters,
@@ -70,7 +70,7 @@
 
         Raises
         ------
-        CallerLeftError
+        CallerDisconnectedError
             When the caller has disconnected.
         """
         self._retries.count_call(call.service, monotonic())
@@ -87,7 +87,7 @@
                 progress,
                 delivery,
                 refuse_stopping(),
-                CallEnd.CUT_BY_STOP,
+                CallEnd.ABORTED_BY_STOP,
             )
 
     async def _send_with_retries(
@@ -113,7 +113,7 @@
                 self._record_stream(call, placed.unwrap(), delivery)
                 return outcome
             _record_failure(progress, placed.unwrap(), outcome.failure())
-            stop = self._verdicts.explain_stop(call, progress)
+            stop = self._verdicts.check_retry(call, progress)
             if stop is not None:
                 return _give_up(call, progress, delivery, stop)
             if delivery.begun:
@@ -127,11 +127,11 @@
     ) -> Result[Placement, Refusal]:
         """Choose endpoints, waiting for free ones while there is time."""
         while True:
-            if not (delivery.begun or self._stop_guard.may_begin(call)):
+            if not (delivery.begun or self._stop_guard.may_begin_answer(call)):
                 return Failure(refuse_stopping())
             try:
                 return Success(await self._chooser.choose(call, progress))
-            except Unplaced as unplaced:
+            except NoPlacementError as unplaced:
                 reason = unplaced.reason
                 may_wait = unplaced.worth_waiting
             if not may_wait or call.remaining(monotonic()) < ANSWER_MARGIN:
@@ -147,7 +147,7 @@
         received: CIMultiDict[str],
     ) -> Result[web.StreamResponse, AttemptFailure]:
         """Send a call to one endpoint and forward its answer."""
-        endpoint = placement.first
+        endpoint = placement.primary
         progress.begin()
         call.attempts += 1
         _record_placement(call, placement)
@@ -185,7 +185,7 @@
             _logger,
             'streamed',
             request=call.request_id,
-            endpoint=placement.first.name,
+            endpoint=placement.primary.name,
             predicted=round(placement.predicted, 4),
             first_event=round(first, 4),
             longest_gap=round(delivery.longest_gap, 4),
@@ -198,7 +198,7 @@
     progress: Progress,
     delivery: StreamDelivery,
     refusal: Refusal,
-    end: CallEnd = CallEnd.BROKEN_OFF,
+    end: CallEnd = CallEnd.TRUNCATED,
 ) -> Result[web.StreamResponse, Refusal]:
     """End a call that got no complete answer.
 
@@ -215,7 +215,7 @@
             elapsed=round(monotonic() - call.arrived, 4),
         )
         return Success(delivery.abort())
-    if progress.may_hand_on_error(call):
+    if progress.may_forward_error(call):
         return Success(progress.fallback.build_response())
     return Failure(progress.complete(refusal))
 
@@ -225,8 +225,8 @@
     placement: Placement,
     failure: AttemptFailure,
 ) -> None:
-    at_fault = find_blamed(placement, failure)
-    progress.note(failure, placement.first.name, at_fault.name)
+    at_fault = find_faulty_endpoint(placement, failure)
+    progress.note(failure, placement.primary.name, at_fault.name)
 
 
 def _record_placement(call: Call, placement: Placement) -> None:
@@ -235,7 +235,7 @@
         'placed',
         request=call.request_id,
         service=call.service,
-        endpoint=placement.first.name,
+        endpoint=placement.primary.name,
         helpers=[helper.name for helper in placement.helpers],
         reserved=sum(share.tokens for share in placement.shares),
         prompt_tokens=call.head.prompt_tokens,
--- a/src/kelproad/coordination/ingress/endpoints.py
+++ b/src/kelproad/coordination/ingress/endpoints.py
@@ -32,7 +32,7 @@
 #: although no call to the store failed: a poll that spans a short outage shows
 #: nothing but the lapse.  Together with the time for reading it stays below the
 #: 2 s after which a departed endpoint must get no calls.
-TOGETHER_SECONDS = 1.2
+MASS_LAPSE_SECONDS = 1.2
 #: Share of the entries of a service above which their vanishing at once counts
 #: as a lapse.
 _MASS_LAPSE_SHARE = 0.5
@@ -41,7 +41,7 @@
 _MAX_MASS_LAPSE_SHARE = 0.6
 #: Seconds after the store's recovery for which a lapsed entry is kept.
 #: According to the platform, live endpoints are back after about two.
-RETURN_SECONDS = 2.3
+RECOVERY_GRACE_SECONDS = 2.3
 
 
 @attrs.frozen
@@ -73,7 +73,7 @@
     sequence: int
 
     @property
-    def age_key(self) -> tuple[int, int]:
+    def report_order(self) -> tuple[int, int]:
         """Order of its reports, across incarnations."""
         return self.born, self.sequence
 
@@ -104,7 +104,7 @@
         self._table = table
         self._read_recovered_at = read_recovered_at
         self._mass_lapse_seconds = min(
-            TOGETHER_SECONDS,
+            MASS_LAPSE_SECONDS,
             removal_limit * _MAX_MASS_LAPSE_SHARE,
         )
         self._listed: dict[str, ListedEndpoint] = {}
@@ -126,17 +126,17 @@
         self._record_missing(self._list_vanished(state))
         for decoded in state.rows:
             if decoded.row.encoded is not None:
-                self._update(decoded.row.key, decoded.said)
-        self.drop_missing()
+                self._update(decoded.row.key, decoded.payload)
+        self.drop_expired()
         self._publish()
 
-    def drop_missing(self) -> None:
+    def drop_expired(self) -> None:
         """Drop entries that have been missing for too long.
 
         None is dropped until the store has been back for some time.
         """
         now = monotonic()
-        if now - self._read_recovered_at() < RETURN_SECONDS:
+        if now - self._read_recovered_at() < RECOVERY_GRACE_SECONDS:
             return
         due = [name for name, until in self._missing.items() if until <= now]
         for name in due:
@@ -144,10 +144,10 @@
             self._listed.pop(name, None)
             record(_logger, 'endpoint_gone', endpoint=name)
 
-    def publish(self) -> None:
+    def publish_expired(self) -> None:
         """Drop entries missing for too long, and publish the rest."""
         if self._missing:
-            self.drop_missing()
+            self.drop_expired()
             self._publish()
 
     def _update(self, name: str, payload: Result[ListedEndpoint, str]) -> None:
@@ -163,7 +163,7 @@
             self._missing.pop(name, None)
             return
         entry = payload.unwrap()
-        if known is not None and entry.age_key < known.age_key:
+        if known is not None and entry.report_order < known.report_order:
             # A report that was delayed while a newer one was written; it must
             # not undo that the endpoint is leaving.
             record(_logger, 'endpoint_entry_outdated', endpoint=name)
--- a/src/kelproad/coordination/ingress/entrance.py
+++ b/src/kelproad/coordination/ingress/entrance.py
@@ -16,17 +16,17 @@
 from ...transport.deadlines import monotonic
 from ...transport.servers import send_answer
 from .admitting import Admitter
-from .delivery import CallerLeftError
+from .delivery import CallerDisconnectedError
 from .dialect import Dialect
 from .dispatching import Dispatcher
 from .holder import ConfigurationHolder
 
-__all__ = ['Entrance']
+__all__ = ['CallHandler']
 
 _logger = logging.getLogger(__name__)
 
 
-class Entrance:
+class CallHandler:
     """Handles calls from their head to the last byte of the answer."""
 
     def __init__(
@@ -78,8 +78,8 @@
         call = admitted.unwrap()
         try:
             answered = await self._dispatcher.answer(call, http_request)
-        except (CallerLeftError, asyncio.CancelledError):
-            call.end = CallEnd.CALLER_LEFT
+        except (CallerDisconnectedError, asyncio.CancelledError):
+            call.end = CallEnd.CALLER_DISCONNECTED
             self._record_end(call)
             raise
         if isinstance(answered, Failure):
@@ -113,7 +113,7 @@
             age=_round_age(self._measure_age()),
             elapsed=round(monotonic() - arrived, 4),
         )
-        return self._dialect.answer_own(refusal, request_id)
+        return self._dialect.build_refusal(refusal, request_id)
 
     def _record_end(self, call: Call) -> None:
         now = monotonic()
--- a/src/kelproad/coordination/ingress/exchange.py
+++ b/src/kelproad/coordination/ingress/exchange.py
@@ -31,18 +31,18 @@
 from ...transport.deadlines import monotonic
 from ...transport.services import BackgroundService
 from .peers import Peer, PeerRegister
-from .reach import ZoneReach
+from .reachability import ZoneReachability
 from .readers import Reader
 from .settings import NodeSettings
 from .tablestates import Provenance
 from .updates import (
     PeerUpdate,
-    ToldWork,
+    ReportedWork,
     ZoneReader,
     decode_update,
     encode_update,
-    read_work,
-    tell_work,
+    pack_work,
+    unpack_work,
 )
 
 __all__ = ['WorkExchange']
@@ -67,13 +67,13 @@
 
 
 @attrs.define
-class _LastTold:
+class _LastReport:
     """The last report sent to some peers, and its monotonic time."""
 
     changes: object = None
     at: float = float('-inf')
 
-    def take_due(
+    def mark_if_due(
         self,
         changes: object,
         now: float,
@@ -103,7 +103,7 @@
         settings: NodeSettings,
         started_at: int,
         ledger: WorkLedger,
-        reach: ZoneReach,
+        reach: ZoneReachability,
         observations: EngineObservations,
         measure_age: Callable[[], float],
         read_provenance: Callable[[], Provenance | None],
@@ -127,9 +127,9 @@
         self._socket = DatagramSocket(self.receive)
         self.peers = PeerRegister(settings, reach)
         self._sequence = 0
-        self._local_report = _LastTold()
-        self._remote_report = _LastTold()
-        self._zone_reports: dict[str, _LastTold] = {}
+        self._local_report = _LastReport()
+        self._remote_report = _LastReport()
+        self._zone_reports: dict[str, _LastReport] = {}
         self._changed = asyncio.Event()
         ledger.on_change = self._changed.set
         self.leaving = False
@@ -139,7 +139,7 @@
         address = Address(self._settings.ip, self._settings.peer_port)
         await self._socket.open(address)
         for host in self._settings.seed_hosts:
-            self.peers.introduce(host, host)
+            self.peers.add(host, host)
 
     async def on_stop(self) -> None:
         """Send the departure message: nothing is in flight here any more."""
@@ -148,7 +148,7 @@
         self._send(itertools.chain(local, *remote.values()), [])
         self._socket.close()
 
-    def describe_own(self) -> Reader:
+    def describe_self(self) -> Reader:
         """Describe this instance as its peers know it."""
         return Reader(
             self._settings.instance,
@@ -169,24 +169,24 @@
         now = monotonic()
         if not self.peers.accept(update, now):
             return
-        self._reach.note_peer(update.zone, now)
+        self._reach.record_peer(update.zone, now)
         if update.leaving:
             self._ledger.forget_peer(update.instance)
             return
-        self._ledger.accept_peer(update.instance, read_work(update.work), now)
+        self._ledger.accept_peer(update.instance, unpack_work(update.work), now)
         self._observations.accept_refusing(update.refusing, now)
         self._observations.accept_slow(update.slow, update.instance, now)
 
     @Service.task
-    async def _tell(self) -> None:
+    async def _report_changes(self) -> None:
         while not self.should_stop:
             changes = (self._ledger.changes, self._read_provenance())
-            all_sent = self._tell_due(changes, monotonic())
+            all_sent = self._send_due_reports(changes, monotonic())
             await asyncio.sleep(_SEND_PERIOD)
             if all_sent:
                 await self._await_change()
 
-    def _tell_due(self, changes: object, now: float) -> bool:
+    def _send_due_reports(self, changes: object, now: float) -> bool:
         """Send the reports that are due now.
 
         Returns
@@ -195,23 +195,23 @@
             Whether the changes have been sent to all peers.
         """
         local, remote = self.peers.part()
-        works = tell_work(self._ledger.own)
+        works = pack_work(self._ledger.local)
         repeat = _choose_local_repeat(len(local), idle=not works)
-        if self._local_report.take_due(changes, now, 0, repeat):
+        if self._local_report.mark_if_due(changes, now, 0, repeat):
             self._send(local, works)
-        if not self.peers.all_told:
+        if not self.peers.is_full_mesh:
             self._report_to_zones(remote, works, now)
             return True
         others = list(itertools.chain(*remote.values()))
-        periods = _choose_far_periods(len(others))
-        if self._remote_report.take_due(changes, now, *periods):
+        periods = _choose_remote_periods(len(others))
+        if self._remote_report.mark_if_due(changes, now, *periods):
             self._send(others, works)
         return self._remote_report.changes == changes
 
     def _report_to_zones(
         self,
         remote: dict[str, list[Peer]],
-        works: list[ToldWork],
+        works: list[ReportedWork],
         now: float,
     ) -> None:
         """Report to each zone the work at its engines, or a keep-alive."""
@@ -219,15 +219,15 @@
             reported = [
                 work for work in works if self._find_zone(work.endpoint) == zone
             ]
-            last = self._zone_reports.setdefault(zone, _LastTold([]))
+            last = self._zone_reports.setdefault(zone, _LastReport([]))
             # The end of all work is reported to each of them as well.
             concerned = bool(reported or last.changes)
-            if not last.take_due(reported, now, 0, _MIN_REPEAT_PERIOD):
+            if not last.mark_if_due(reported, now, 0, _MIN_REPEAT_PERIOD):
                 continue
             if not concerned:
                 # The live instances here divide those of the other zone among
                 # themselves, so that each receives from one sender.
-                rank, count = self.peers.rank_own(now)
+                rank, count = self.peers.rank_self(now)
                 members = members[rank::count]
             self._send(members, reported)
 
@@ -238,13 +238,13 @@
             async with asyncio.timeout(_MIN_REPEAT_PERIOD - _SEND_PERIOD):
                 await self._changed.wait()
 
-    def _send(self, peers: Iterable[Peer], works: list[ToldWork]) -> None:
+    def _send(self, peers: Iterable[Peer], works: list[ReportedWork]) -> None:
         self._sequence += 1
         datagram = encode_update(self._build_update(works))
         for peer in peers:
             self._socket.send(datagram, peer.address)
 
-    def _build_update(self, works: list[ToldWork]) -> PeerUpdate:
+    def _build_update(self, works: list[ReportedWork]) -> PeerUpdate:
         now = monotonic()
         age = self._measure_age()
         return PeerUpdate(
@@ -268,12 +268,12 @@
         Not needed where all instances report to each other, as each then
         advertises its own provenance.
         """
-        if self.peers.all_told:
+        if self.peers.is_full_mesh:
             return None
         others = self.peers.list_zone_peers(now)
         serving = [
             reader
-            for reader in (self.describe_own(), *others)
+            for reader in (self.describe_self(), *others)
             if reader.serves_zone
         ]
         first = min(serving, key=lambda reader: reader.rank, default=None)
@@ -288,7 +288,7 @@
     return _choose_repeat(peers * factor, _MAX_REPEAT_PERIOD * factor)
 
 
-def _choose_far_periods(peers: int) -> tuple[float, float]:
+def _choose_remote_periods(peers: int) -> tuple[float, float]:
     """Return the seconds between changes, and until a repetition."""
     return (
         min(_MAX_REMOTE_SEND_PERIOD, peers * _REMOTE_SEND_PERIOD_PER_PEER),
--- a/src/kelproad/coordination/ingress/following.py
+++ b/src/kelproad/coordination/ingress/following.py
@@ -60,7 +60,7 @@
 
     Attributes
     ----------
-    ask
+    query
         Queries what changed since a version, or all rows; ``None`` when no
         instance can answer.
     measure_backoff
@@ -68,7 +68,7 @@
         store first: 0 if others are served by this one, or there are none.
     """
 
-    ask: Callable[[int | None], Awaitable[TableState | None]]
+    query: Callable[[int | None], Awaitable[TableState | None]]
     measure_backoff: Callable[[], float]
 
 
@@ -77,12 +77,12 @@
 
     Attributes
     ----------
-    sound_at
+    confirmed_at
         Boot time at which the call was sent that last got a valid answer:
         everything that was true until then is known here.  The monotonic clock
         won't do, as it stands still while a machine is suspended, and old data
         would then pass for fresh.
-    back_at
+    recovered_at
         Monotonic time of the first valid answer after a failure.
     provenance
         Source of the last valid answer, ``None`` before the first.
@@ -129,16 +129,16 @@
         self._version: int | None = None
         self._failures = 0
         self.provenance: Provenance | None = None
-        self.sound_at = float('-inf')
-        self.back_at = float('-inf')
+        self.confirmed_at = float('-inf')
+        self.recovered_at = float('-inf')
 
     def measure_age(self) -> float:
         """Return how many seconds old the table may be."""
-        return read_boottime() - self.sound_at
+        return read_boottime() - self.confirmed_at
 
-    def measure_back(self) -> float:
+    def measure_since_recovery(self) -> float:
         """Return the seconds since the store recovered; infinite if never."""
-        return monotonic() - self.back_at
+        return monotonic() - self.recovered_at
 
     @property
     def failing(self) -> bool:
@@ -149,7 +149,7 @@
     async def _follow(self) -> None:
         while not self.should_stop:
             sent_at = read_boottime()
-            relayed = await self._peers.ask(self._version)
+            relayed = await self._peers.query(self._version)
             if relayed is not None:
                 self._accept(relayed, sent_at)
                 await asyncio.sleep(_PEER_QUERY_PERIOD)
@@ -160,7 +160,7 @@
                 continue
             answered = await self._query_store()
             if isinstance(answered, Failure):
-                self._bear(answered.failure())
+                self._record_failure(answered.failure())
                 continue
             self._accept(answered.unwrap(), sent_at)
             await asyncio.sleep(self._pause)
@@ -191,7 +191,7 @@
 
     def _accept(self, state: TableState, sent_at: float) -> None:
         if self._failures:
-            self.back_at = monotonic()
+            self.recovered_at = monotonic()
             record(
                 _logger,
                 'store_regained',
@@ -201,7 +201,9 @@
             )
         self._failures = 0
         self._store_due = None
-        self.back_at = max(self.back_at, monotonic() - state.back_for)
+        self.recovered_at = max(
+            self.recovered_at, monotonic() - state.recovered_for
+        )
         self._record_provenance(state.provenance)
         # The store's counter never decreases; a lower version comes from a
         # stale reader, and adopting it would lose no change but repeat old
@@ -210,7 +212,7 @@
             return
         self._version = state.version
         self._adopt(state)
-        self.sound_at = max(self.sound_at, sent_at - state.age)
+        self.confirmed_at = max(self.confirmed_at, sent_at - state.age)
 
     def _record_provenance(self, provenance: Provenance) -> None:
         if provenance is not self.provenance:
@@ -223,7 +225,7 @@
             )
         self.provenance = provenance
 
-    def _bear(self, problem: StoreProblem) -> None:
+    def _record_failure(self, problem: StoreProblem) -> None:
         """Record a failure, and schedule the next query to the store."""
         if problem.kind is StoreProblemKind.HISTORY_LOST:
             # Changes were missed; only the complete table shows what is valid.
--- a/src/kelproad/coordination/ingress/memory.py
+++ b/src/kelproad/coordination/ingress/memory.py
@@ -14,10 +14,10 @@
 
 from ...state.endpoints import Endpoint
 from ...state.records import record
-from .placement import Share
+from .placement import MemoryShare
 from .settings import Bounds
 
-__all__ = ['EngineOrders', 'MemoryKeeper', 'Reservation']
+__all__ = ['EngineOperations', 'MemoryReserver', 'Reservation']
 
 _logger = logging.getLogger(__name__)
 #: Seconds for which memory is reserved at a time, and the largest share that
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class EngineOrders:
+class EngineOperations:
     """Remote operations of engines that reservations need.
 
     Attributes
@@ -66,12 +66,12 @@
     tokens: int
 
 
-class MemoryKeeper:
+class MemoryReserver:
     """Reserves, renews and releases memory for attempts."""
 
     def __init__(
         self,
-        orders: EngineOrders,
+        orders: EngineOperations,
         read_bounds: Callable[[], Bounds],
     ) -> None:
         """Reserve with operations of engines, within the operators' bounds."""
@@ -82,7 +82,7 @@
     async def reserve(
         self,
         attempt_id: str,
-        shares: tuple[Share, ...],
+        shares: tuple[MemoryShare, ...],
     ) -> Result[tuple[Reservation, ...], Endpoint]:
         """Reserve all shares, or none.
 
--- a/src/kelproad/coordination/ingress/node.py
+++ b/src/kelproad/coordination/ingress/node.py
@@ -15,21 +15,21 @@
 from ...state.records import record
 from ...state.work import WorkLedger
 from ...transport.deadlines import monotonic
-from ...transport.http import create_fresh_session, create_session
+from ...transport.http import create_session, create_single_use_session
 from ...transport.services import BackgroundService
 from ..drain import Drain, DrainPhase
-from .assembly import CallPath, SharedState
+from .assembly import CallPipeline, SharedState
 from .dialect import Dialect
 from .holder import ConfigurationHolder
 from .peering import Peering
 from .peers import CONFIRMED_SECONDS
-from .reach import ZoneReach
+from .reachability import ZoneReachability
 from .reloading import SettingsHolder, SettingsWatch
 from .rostering import Roster
+from .servers import NodeServers, describe_endpoints, describe_work
 from .settings import Bounds
 from .stopping import plan_stop
 from .store import OpenStore
-from .surfaces import Surfaces, describe_endpoints, describe_work
 
 __all__ = ['Node']
 
@@ -72,11 +72,11 @@
         self._holder = ConfigurationHolder()
         self._table = EndpointTable()
         self._ledger = WorkLedger()
-        self._reach = ZoneReach()
+        self._reach = ZoneReachability()
         self._observations = EngineObservations()
         self._sessions: list[aiohttp.ClientSession] = []
         self._drain = Drain(
-            lambda: self._path.entrance.unfinished,
+            lambda: self._path.handler.unfinished,
             lambda: plan_stop(self._read_bounds().stop_grace),
         )
 
@@ -149,24 +149,26 @@
         record(
             _logger,
             'instance_stopping',
-            unfinished=self._path.entrance.unfinished,
+            unfinished=self._path.handler.unfinished,
         )
         closing = asyncio.create_task(self._close_idle())
         await self._drain.finish()
-        interrupted = self._drain.end()
-        await self._drain.settle(self._drain.bound_closing(_ANSWER_SECONDS))
+        interrupted = self._drain.interrupt_calls()
+        await self._drain.wait_until_idle(
+            self._drain.bound_shutdown_step(_ANSWER_SECONDS)
+        )
         # Answers that callers read slowly are cut off when servers close.
-        left = max(interrupted, self._path.entrance.unfinished)
+        left = max(interrupted, self._path.handler.unfinished)
         closing.cancel()
         await self._path.memory.finish(
-            self._drain.bound_closing(_RELEASE_SECONDS),
+            self._drain.bound_shutdown_step(_RELEASE_SECONDS),
         )
         self._record_stop('instance_stopped', unfinished=left)
         return left
 
     # Composition
 
-    def _create_call_path(self) -> CallPath:
+    def _create_call_path(self) -> CallPipeline:
         shared = SharedState(
             self._settings.instance,
             self._settings.zone,
@@ -183,22 +185,22 @@
             self._tables.configuration.measure_age,
             self._read_bounds,
         )
-        return CallPath.from_state(
+        return CallPipeline.from_state(
             shared,
             self._exchange,
             self._open_session(),
         )
 
     async def _serve(self) -> None:
-        surfaces = Surfaces(
+        surfaces = NodeServers(
             self._settings,
             self._dialect,
-            self._path.entrance.answer,
+            self._path.handler.answer,
             self._explain_unready,
             self._drain,
             self._counters,
             self._describe,
-            self._tables.tell,
+            self._tables.list_changes_for_peer,
         )
         self._caller_server = surfaces.create_caller_server()
         for server in (
@@ -210,7 +212,7 @@
             await self.add_runtime_dependency(server)
 
     def _open_session(self) -> aiohttp.ClientSession:
-        session = create_fresh_session(
+        session = create_single_use_session(
             self._settings.caller_address,
             trace_configs=[trace_connections()],
         )
@@ -229,7 +231,7 @@
     async def _drop_lapsed(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_LAPSE_PERIOD)
-            self._tables.registry.publish()
+            self._tables.registry.publish_expired()
 
     # Stop and reporting
 
@@ -248,7 +250,7 @@
 
     def _record_stop(self, event: str, **fields: object) -> None:
         """Log an event of a stop with the seconds left until the kill."""
-        until_kill = round(self._drain.measure_until_kill(), 3)
+        until_kill = round(self._drain.seconds_until_kill(), 3)
         record(_logger, event, until_kill=until_kill, **fields)
 
     def _explain_unready(self) -> str:
@@ -280,7 +282,7 @@
             'age': self._tables.configuration.measure_age(),
             'endpoint_age': self._tables.endpoints.measure_age(),
             'live_instances': self._exchange.peers.count_live(now),
-            'unfinished': self._path.entrance.unfinished,
+            'unfinished': self._path.handler.unfinished,
             'own_work': describe_work(self._ledger),
             'endpoints': describe_endpoints(self._table, now),
         }
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -11,16 +11,27 @@
 import attrs
 
 from ...state.engines import EngineProfile
-from .passes import (
+from .placement import (
+    CallRequirements,
+    Candidate,
+    MemoryShare,
+    NoPlacementError,
+    Placement,
+)
+from .predictions import (
     FAILURE_SECONDS,
-    measure_allowance,
-    measure_free,
+    choose_lowest_score,
+    measure_free_memory,
+    measure_prefill_allowance,
     predict_first_token,
-    take_best,
 )
-from .placement import Candidate, Need, Placement, Share, Unplaced
 
-__all__ = ['choose_forced', 'choose_harmless', 'place_parts', 'require_memory']
+__all__ = [
+    'choose_least_disruptive',
+    'choose_non_disruptive',
+    'place_parts',
+    'require_memory',
+]
 
 #: Parts of one prompt at most: an engine accepts 16 helpers.
 MOST_PARTS = 17
@@ -37,9 +48,9 @@
 SPARE_TOKENS = 30_000
 
 
-def choose_harmless(
+def choose_non_disruptive(
     helpers: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     share: float,
     profile: EngineProfile,
 ) -> list[Candidate]:
@@ -48,7 +59,7 @@
     ranked = sorted(
         (
             (
-                measure_allowance(candidate, need, share, profile),
+                measure_prefill_allowance(candidate, need, share, profile),
                 candidate,
             )
             for candidate in helpers
@@ -68,9 +79,9 @@
     return candidate.failing * FAILURE_SECONDS - allowance
 
 
-def choose_forced(
+def choose_least_disruptive(
     helpers: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose the engines that meet the objective with the least disruption.
@@ -144,10 +155,11 @@
     def count_streams(self, part: float, profile: EngineProfile) -> int:
         """Count the streams that stall too long, weighted by their kind."""
         work = self.candidate.work
-        if part * self.candidate.slowdown < profile.pauses.loose:
-            return work.tight_calls
+        if part * self.candidate.slowdown < profile.stall_limits.gap_tolerant:
+            return work.gap_sensitive_calls
         return (
-            work.tight_calls + work.patient_calls * STREAMS_PER_GAP_TOLERANT_ONE
+            work.gap_sensitive_calls
+            + work.patient_calls * STREAMS_PER_GAP_TOLERANT_ONE
         )
 
     def rank(self, part: float, profile: EngineProfile) -> tuple[int, float]:
@@ -159,7 +171,7 @@
     chosen: list[Candidate],
     able: list[Candidate],
     helpers: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
@@ -169,7 +181,7 @@
     def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         return predict_first_token(candidate, 0, profile)
 
-    first, _ = take_best(both or able, score_candidate, generator)
+    first, _ = choose_lowest_score(both or able, score_candidate, generator)
     others = [candidate for candidate in chosen if candidate is not first]
     if not both:
         others = others[: len(chosen) - 1]
@@ -182,7 +194,8 @@
         first.endpoint,
         tuple(candidate.endpoint for candidate in others),
         tuple(
-            Share(candidate.endpoint, tokens) for candidate, tokens in shares
+            MemoryShare(candidate.endpoint, tokens)
+            for candidate, tokens in shares
         ),
         part_seconds=part,
         predicted=max(
@@ -197,7 +210,7 @@
     first: Candidate,
     others: list[Candidate],
     helpers: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     profile: EngineProfile,
 ) -> list[tuple[Candidate, int]]:
     """Distribute the memory that the answering engine lacks.
@@ -207,10 +220,10 @@
 
     Raises
     ------
-    Unplaced
+    NoPlacementError
         When the engines have too little free memory at present.
     """
-    missing = need.memory_tokens - measure_free(first, profile)
+    missing = need.memory_tokens - measure_free_memory(first, profile)
     if missing <= 0:
         return []
     # The answering engine keeps its spare tokens as well.
@@ -219,35 +232,37 @@
         (candidate for candidate in helpers if candidate is not first),
         key=lambda candidate: (
             candidate not in others,
-            -measure_free(candidate, profile),
+            -measure_free_memory(candidate, profile),
         ),
     )
     shares: list[tuple[Candidate, int]] = []
     for candidate in ranked[: MOST_PARTS - 1]:
-        free = measure_free(candidate, profile) - SPARE_TOKENS
+        free = measure_free_memory(candidate, profile) - SPARE_TOKENS
         if free > SPARE_TOKENS:
             shares.append((candidate, min(free, missing)))
             missing -= free
         if missing <= 0:
             return shares
-    raise Unplaced('too little free memory', worth_waiting=need.may_wait)
+    raise NoPlacementError(
+        'too little free memory', worth_waiting=need.may_wait
+    )
 
 
 def require_memory(
     candidates: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     profile: EngineProfile,
 ) -> None:
     """Check that the engines together could hold a prompt and its answer.
 
     Raises
     ------
-    Unplaced
+    NoPlacementError
         When they could not even with all their memory free.
     """
     engines = min(MOST_PARTS, len(candidates))
     total = engines * (profile.memory_tokens - SPARE_TOKENS)
     if need.memory_tokens > max(total, profile.memory_tokens):
-        raise Unplaced(
+        raise NoPlacementError(
             'larger than the memory of the engines', worth_waiting=False
         )
--- a/src/kelproad/coordination/ingress/peering.py
+++ b/src/kelproad/coordination/ingress/peering.py
@@ -20,11 +20,11 @@
 from .holder import ConfigurationHolder
 from .probing import TableProbe
 from .queries import PeerQueries, Query, Reply, TablesReply, WorkQuery
-from .reach import ZoneReach
-from .readers import ReaderChoice
+from .reachability import ZoneReachability
+from .readers import ReaderSelector
 from .relaying import TableRelay
 from .settings import NodeSettings
-from .spillover import answer_work
+from .spillover import answer_work_query
 from .store import NodeStore
 from .tables import FollowedTables
 
@@ -51,7 +51,7 @@
         holder: ConfigurationHolder,
         table: EndpointTable,
         ledger: WorkLedger,
-        reach: ZoneReach,
+        reach: ZoneReachability,
         observations: EngineObservations,
         session: aiohttp.ClientSession,
         counters: Counters,
@@ -69,10 +69,10 @@
         self._counters = counters
         self.queries = PeerQueries(settings, self._answer)
         self._probe = TableProbe(self.queries)
-        self._readers = ReaderChoice(
+        self._readers = ReaderSelector(
             # The exchange is built last, as it reports on the tables.
-            lambda: self.exchange.describe_own(),
-            lambda now: self.exchange.peers.list_heard(now),
+            lambda: self.exchange.describe_self(),
+            lambda now: self.exchange.peers.list_live(now),
         )
         self.tables = FollowedTables(
             settings.bounds,
@@ -109,20 +109,20 @@
             name,
             self._settings.zone,
             self._readers,
-            self._probe.ask,
+            self._probe.query,
             self._session,
             self._settings.peer_port,
             self._counters,
         )
         return PeerTable(
-            relay.ask,
+            relay.query,
             lambda: self._readers.measure_backoff(monotonic()),
         )
 
     def _answer(self, query: Query) -> Reply:
         """Answer a query that another instance sent by datagram."""
         if isinstance(query, WorkQuery):
-            return answer_work(
+            return answer_work_query(
                 query,
                 self._settings.zone,
                 self._table,
--- a/src/kelproad/coordination/ingress/peers.py
+++ b/src/kelproad/coordination/ingress/peers.py
@@ -9,23 +9,23 @@
 
 from ...state.records import record
 from ...transport.addresses import Address
-from .reach import ZoneReach
-from .readers import OLDEST_TOLD, Reader
+from .reachability import ZoneReachability
+from .readers import MAX_RELAYED_AGE, Reader
 from .settings import NodeSettings
 from .tablestates import Provenance
 from .updates import PeerUpdate
 
-__all__ = ['CONFIRMED_SECONDS', 'MOST_TOLD_ALL', 'Peer', 'PeerRegister']
+__all__ = ['CONFIRMED_SECONDS', 'MAX_FULL_MESH_PEERS', 'Peer', 'PeerRegister']
 
 _logger = logging.getLogger(__name__)
 #: Number of instances of other zones up to which each of them is sent
 #: everything.
-MOST_TOLD_ALL = 60
+MAX_FULL_MESH_PEERS = 60
 #: Seconds without a datagram after which a peer no longer counts as live.
 _LIVE_SECONDS = 3.0
 #: Seconds after its confirmation for which the configuration of an instance
 #: counts as known: as long as it may be relayed.
-CONFIRMED_SECONDS = OLDEST_TOLD
+CONFIRMED_SECONDS = MAX_RELAYED_AGE
 #: Seconds after which a silent peer that the store doesn't list is dropped.
 _DROP_SECONDS = 30.0
 
@@ -40,7 +40,7 @@
     """
 
     address: Address
-    heard_at: float = float('-inf')
+    received_at: float = float('-inf')
     zone: str = ''
     order: tuple[int, int] = (0, 0)
     confirmed_at: float = float('-inf')
@@ -48,7 +48,7 @@
 
     def is_live(self, now: float) -> bool:
         """Return whether a datagram from it was received lately."""
-        return now - self.heard_at < _LIVE_SECONDS
+        return now - self.received_at < _LIVE_SECONDS
 
     def describe(self, name: str) -> Reader:
         """Describe it as an instance that tables may be queried from."""
@@ -58,7 +58,7 @@
 class PeerRegister:
     """The other instances, by name."""
 
-    def __init__(self, settings: NodeSettings, reach: ZoneReach) -> None:
+    def __init__(self, settings: NodeSettings, reach: ZoneReachability) -> None:
         """Register the peers of an instance."""
         self._settings = settings
         self._reach = reach
@@ -69,7 +69,7 @@
         #: of an instance there that named it.
         self._zone_readers: dict[str, tuple[Reader, float]] = {}
 
-    def introduce(self, instance: str, host: str, zone: str = '') -> None:
+    def add(self, instance: str, host: str, zone: str = '') -> None:
         """Add an instance to those that datagrams are sent to."""
         if host == self._settings.ip or instance == self._settings.instance:
             return
@@ -79,10 +79,10 @@
             self._peers[instance] = Peer(address, zone=zone)
             self._by_zone = None
 
-    def keep_listed(self, instances: set[str], now: float) -> None:
+    def drop_unlisted(self, instances: set[str], now: float) -> None:
         """Drop silent peers that the store doesn't list."""
         for name in self._peers.keys() - instances:
-            if now - self._peers[name].heard_at > _DROP_SECONDS:
+            if now - self._peers[name].received_at > _DROP_SECONDS:
                 self._peers.pop(name)
                 self._by_zone = None
 
@@ -94,7 +94,7 @@
         bool
             Whether it was recorded.
         """
-        self.introduce(update.instance, update.host)
+        self.add(update.instance, update.host)
         # A seed is known by its host until its first report names it.
         if self._peers.pop(update.host, None):
             self._by_zone = None
@@ -111,7 +111,7 @@
             record(
                 _logger, 'peer_heard', peer=update.instance, zone=update.zone
             )
-        peer.heard_at = float('-inf') if update.leaving else now
+        peer.received_at = float('-inf') if update.leaving else now
         if peer.zone != update.zone:
             peer.zone = update.zone
             self._by_zone = None
@@ -145,7 +145,7 @@
         local = [*remote.pop('', ()), *remote.pop(self._settings.zone, ())]
         return local, remote
 
-    def rank_own(self, now: float) -> tuple[int, int]:
+    def rank_self(self, now: float) -> tuple[int, int]:
         """Rank this instance by name among the live ones of its zone.
 
         Returns
@@ -160,12 +160,12 @@
         return before, len(others) + 1
 
     @property
-    def all_told(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether peers are few enough for a full mesh of reports."""
         _, remote = self.part()
-        return sum(map(len, remote.values())) <= MOST_TOLD_ALL
+        return sum(map(len, remote.values())) <= MAX_FULL_MESH_PEERS
 
-    def list_far_hosts(self) -> dict[str, list[str]]:
+    def list_remote_hosts(self) -> dict[str, list[str]]:
         """List the IP numbers of the instances of other zones, by zone."""
         _, remote = self.part()
         return {
@@ -191,14 +191,14 @@
         Where not every instance of another zone reports to this one, all
         listed instances of the zone count while any of them is received from.
         """
-        if self.all_told:
+        if self.is_full_mesh:
             return 1 + sum(peer.is_live(now) for peer in self._peers.values())
         local, remote = self.part()
         live = sum(peer.is_live(now) for peer in local)
         reachable = sum(
             len(members)
             for zone, members in remote.items()
-            if self._reach.is_heard(zone, now)
+            if self._reach.has_live_instance(zone, now)
         )
         return 1 + live + reachable
 
@@ -211,7 +211,7 @@
         received = [
             peer
             for peer in self._peers.values()
-            if math.isfinite(peer.heard_at)
+            if math.isfinite(peer.received_at)
         ]
         live = [peer for peer in received if peer.is_live(now)]
         if not live:
@@ -221,7 +221,7 @@
             return True
         return self._is_zone_isolated(received, now)
 
-    def list_heard(self, now: float) -> list[Reader]:
+    def list_live(self, now: float) -> list[Reader]:
         """List the live instances, and the readers of zones named lately."""
         named = {
             reader.instance: reader
@@ -239,5 +239,5 @@
         """Return whether all other zones have fallen silent."""
         others = {peer.zone for peer in received} - {'', self._settings.zone}
         return bool(others) and all(
-            self._reach.is_doubtful(zone, now) for zone in others
+            self._reach.is_suspect(zone, now) for zone in others
         )
--- a/src/kelproad/coordination/ingress/placement.py
+++ b/src/kelproad/coordination/ingress/placement.py
@@ -7,7 +7,13 @@
 from ...state.endpoints import Endpoint
 from ...state.work import EndpointWork
 
-__all__ = ['Candidate', 'Need', 'Placement', 'Share', 'Unplaced']
+__all__ = [
+    'Candidate',
+    'CallRequirements',
+    'Placement',
+    'MemoryShare',
+    'NoPlacementError',
+]
 
 #: Share of its objective for which a prompt may wait for free engines, and
 #: share of the caller's silence timeout for one that misses it in any case.
@@ -43,7 +49,7 @@
 
 
 @attrs.frozen
-class Need:
+class CallRequirements:
     """Resources and time limits of a call to engines.
 
     Attributes
@@ -54,7 +60,7 @@
         Seconds from arrival to the first token that the route aims at.
     waited
         Seconds since arrival.
-    patience
+    silence_timeout
         Seconds from arrival without a first token after which the caller
         disconnects (its silence timeout).
     """
@@ -63,7 +69,7 @@
     memory_tokens: int
     objective: float
     waited: float = 0
-    patience: float = math.inf
+    silence_timeout: float = math.inf
 
     @property
     def may_wait(self) -> bool:
@@ -71,13 +77,13 @@
         return self.waited < self.objective * WAIT_SHARE
 
     @property
-    def may_wait_late(self) -> bool:
+    def may_wait_past_objective(self) -> bool:
         """Whether there is time to wait once the objective is missed."""
-        return self.waited < self.patience * LATE_WAIT_SHARE
+        return self.waited < self.silence_timeout * LATE_WAIT_SHARE
 
-    def when_late(self) -> 'Need':
+    def with_silence_timeout(self) -> 'CallRequirements':
         """Use the silence timeout in place of an objective that is missed."""
-        return attrs.evolve(self, objective=self.patience)
+        return attrs.evolve(self, objective=self.silence_timeout)
 
     @property
     def left(self) -> float:
@@ -86,7 +92,7 @@
 
 
 @attrs.frozen
-class Share:
+class MemoryShare:
     """Memory in tokens that one engine is to reserve for a prompt."""
 
     endpoint: Endpoint
@@ -99,7 +105,7 @@
 
     Attributes
     ----------
-    first
+    primary
         The endpoint that answers.
     helpers
         Helper engines, which prefill parts of the prompt.
@@ -111,20 +117,20 @@
         Predicted seconds to the first token, or to the answer.
     considered
         Number of candidates that were scored.
-    patient
+    gap_tolerant
         Whether its stream tolerates gaps as long as the prefill of a part.
     """
 
-    first: Endpoint
+    primary: Endpoint
     helpers: tuple[Endpoint, ...] = ()
-    shares: tuple[Share, ...] = ()
+    shares: tuple[MemoryShare, ...] = ()
     part_seconds: float = 0
     predicted: float = 0
     considered: int = 0
-    patient: bool = False
+    gap_tolerant: bool = False
 
 
-class Unplaced(Exception):
+class NoPlacementError(Exception):
     """No endpoint can accept the call now.
 
     Attributes
--- a/src/kelproad/coordination/ingress/passes.py
+++ b/src/kelproad/coordination/ingress/predictions.py
@@ -9,17 +9,17 @@
 
 from ...state.engines import EngineProfile
 from ...state.work import EndpointWork
-from .placement import Candidate, Need
+from .placement import CallRequirements, Candidate
 
 __all__ = [
     'FAILURE_SECONDS',
     'count_free_slots',
     'has_slot',
-    'measure_allowance',
-    'measure_free',
+    'measure_prefill_allowance',
+    'measure_free_memory',
     'predict_first_token',
-    'predict_work_pass',
-    'take_best',
+    'predict_pass',
+    'choose_lowest_score',
 ]
 
 #: Seconds added to an endpoint's score if it is certain to fail: about the time
@@ -42,7 +42,7 @@
     first token comes at the end of that pass.
     """
     published = (
-        predict_work_pass(candidate.work, profile) / 2
+        predict_pass(candidate.work, profile) / 2
         + candidate.work.prefill_seconds
         + prompt_seconds
         + profile.predict_decode(
@@ -57,9 +57,9 @@
     )
 
 
-def measure_allowance(
+def measure_prefill_allowance(
     candidate: Candidate,
-    need: Need,
+    need: CallRequirements,
     share: float,
     profile: EngineProfile,
 ) -> float:
@@ -73,14 +73,14 @@
     allowance -= candidate.work.prefill_seconds
     if not candidate.work.calls:
         return allowance
-    longest = profile.pauses.loose
-    if candidate.work.tight_calls:
-        longest = profile.pauses.tight
-    running = predict_work_pass(candidate.work, profile)
+    longest = profile.stall_limits.gap_tolerant
+    if candidate.work.gap_sensitive_calls:
+        longest = profile.stall_limits.gap_sensitive
+    running = predict_pass(candidate.work, profile)
     return min(allowance, longest / candidate.slowdown - running)
 
 
-def predict_work_pass(work: EndpointWork, profile: EngineProfile) -> float:
+def predict_pass(work: EndpointWork, profile: EngineProfile) -> float:
     """Predict the seconds of a pass, at published speed, with all its work."""
     if not work.calls:
         return work.prefill_seconds
@@ -99,7 +99,7 @@
     return slots - candidate.work.calls
 
 
-def measure_free(candidate: Candidate, profile: EngineProfile) -> int:
+def measure_free_memory(candidate: Candidate, profile: EngineProfile) -> int:
     """Measure the tokens of memory that no work in flight needs.
 
     An engine that runs out of memory preempts its newest stream, even one that
@@ -108,7 +108,7 @@
     return profile.memory_tokens - candidate.work.context_tokens
 
 
-def take_best(
+def choose_lowest_score(
     candidates: list[Candidate],
     score_candidate: Callable[[Candidate], float],
     generator: random.Random,
--- a/src/kelproad/coordination/ingress/probing.py
+++ b/src/kelproad/coordination/ingress/probing.py
@@ -32,12 +32,12 @@
 
     Attributes
     ----------
-    asked_at
+    queried_at
         Boot time at which the query was sent.
     """
 
     tables: dict[str, TableFreshness]
-    asked_at: float
+    queried_at: float
 
 
 class TableProbe:
@@ -49,14 +49,14 @@
         self._latest: dict[str, Freshness] = {}
         self._pending: dict[str, asyncio.Task[Freshness | None]] = {}
 
-    async def ask(self, reader: Reader) -> Freshness | None:
+    async def query(self, reader: Reader) -> Freshness | None:
         """Query an instance; ``None`` when it doesn't reply.
 
         Followers of several tables that query at about the same time share one
         query.
         """
         latest = self._latest.get(reader.instance)
-        if latest and read_boottime() - latest.asked_at < _REUSE_SECONDS:
+        if latest and read_boottime() - latest.queried_at < _REUSE_SECONDS:
             return latest
         query = self._pending.get(reader.instance)
         if query is None:
@@ -70,7 +70,7 @@
     async def _query(self, reader: Reader) -> Freshness | None:
         for _ in range(_MAX_ATTEMPTS):
             queried_at = read_boottime()
-            answer = await self._queries.ask(
+            answer = await self._queries.query(
                 TablesQuery,
                 reader.host,
                 _REPLY_TIMEOUT,
--- a/src/kelproad/coordination/ingress/progress.py
+++ b/src/kelproad/coordination/ingress/progress.py
@@ -3,8 +3,8 @@
 import attrs
 
 from ...state.calls import Call
-from ...state.refusals import PROMISING, Ran, Refusal, RefusalCode
-from .attempts import AttemptFailure, WholeAnswer
+from ...state.refusals import NOT_RUN_STATUSES, Ran, Refusal, RefusalCode
+from .attempts import AttemptFailure, CompleteAnswer
 
 __all__ = ['Progress']
 
@@ -36,7 +36,7 @@
     ran: Ran = Ran.NO
     tried: set[str] = attrs.field(factory=set)
     reached: set[str] = attrs.field(factory=set)
-    fallback: WholeAnswer | None = None
+    fallback: CompleteAnswer | None = None
     last: AttemptFailure | None = None
     in_flight: bool = False
 
@@ -59,7 +59,7 @@
         """
         self.last = failure
         self.in_flight = False
-        self.tried.add(failure.avoid or at_fault)
+        self.tried.add(failure.exclude or at_fault)
         if failure.arrived:
             self.reached.add(first)
         if failure.ran is not Ran.NO and self.ran is not Ran.YES:
@@ -67,17 +67,15 @@
         if failure.answer is not None:
             self.fallback = failure.answer
 
-    def may_answer(self, endpoint: str, most_endpoints: int) -> bool:
+    def may_answer(self, endpoint: str, max_endpoints: int) -> bool:
         """Return whether the next attempt may be sent to an endpoint."""
-        return endpoint in self.reached or len(self.reached) < most_endpoints
+        return endpoint in self.reached or len(self.reached) < max_endpoints
 
-    def is_spent(self, most_endpoints: int) -> bool:
+    def is_exhausted(self, max_endpoints: int) -> bool:
         """Return whether the call may be sent to no endpoint any more."""
-        return (
-            len(self.reached) >= most_endpoints and self.reached <= self.tried
-        )
+        return len(self.reached) >= max_endpoints and self.reached <= self.tried
 
-    def may_hand_on_error(self, call: Call) -> bool:
+    def may_forward_error(self, call: Call) -> bool:
         """Return whether an endpoint's error may be forwarded unchanged.
 
         Some statuses promise that the call has not run.  A call that may run
@@ -87,7 +85,8 @@
         if self.fallback is None:
             return False
         return (
-            call.kind.repeatable or self.fallback.head.status not in PROMISING
+            call.kind.repeatable
+            or self.fallback.head.status not in NOT_RUN_STATUSES
         )
 
     def complete(self, refusal: Refusal) -> Refusal:
@@ -98,7 +97,7 @@
         if ran is Ran.NO:
             return _promise_not_run(refusal)
         code = refusal.code
-        if code.status in PROMISING:
+        if code.status in NOT_RUN_STATUSES:
             code = RefusalCode.ENDPOINT_FAILED
         return attrs.evolve(refusal, code=code, ran=ran, retry_after=None)
 
--- a/src/kelproad/coordination/ingress/queries.py
+++ b/src/kelproad/coordination/ingress/queries.py
@@ -18,7 +18,7 @@
 from ...transport.services import BackgroundService
 from .settings import NodeSettings
 from .tables import TableFreshness
-from .updates import ToldWork
+from .updates import ReportedWork
 
 __all__ = [
     'Reply',
@@ -64,7 +64,7 @@
     """
 
     token: int
-    work: list[ToldWork]
+    work: list[ReportedWork]
     refusing: list[str]
     slow: dict[str, float]
 
@@ -106,7 +106,7 @@
         """Close the socket."""
         self._socket.close()
 
-    async def ask(
+    async def query(
         self,
         kind: type[Query],
         host: str,
--- a/src/kelproad/coordination/ingress/reach.py
+++ b/src/kelproad/coordination/ingress/reachability.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-__all__ = ['ZoneReach']
+__all__ = ['ZoneReachability']
 
 #: Seconds of silence of all instances of a zone after which it is suspect.
 #: They send every 0.25 s, so two datagrams in a row were lost or never sent.
@@ -30,26 +30,26 @@
     probed_at: float = float('-inf')
 
 
-class ZoneReach:
+class ZoneReachability:
     """Infers whether zones can be reached."""
 
     def __init__(self) -> None:
         """Start with no zone suspect."""
         self._zones: dict[str, _ZoneTimes] = {}
 
-    def note_peer(self, zone: str, now: float) -> None:
+    def record_peer(self, zone: str, now: float) -> None:
         """Record that a datagram of an instance there was received."""
         self._find(zone).peer_at = now
 
-    def note_answer(self, zone: str, now: float) -> None:
+    def record_answer(self, zone: str, now: float) -> None:
         """Record that an endpoint there answered."""
         self._find(zone).answer_at = now
 
-    def note_unreached(self, zone: str, now: float) -> None:
+    def record_connect_failure(self, zone: str, now: float) -> None:
         """Record that a connection to an endpoint there failed."""
         self._find(zone).failure_at = now
 
-    def is_doubtful(self, zone: str, now: float) -> bool:
+    def is_suspect(self, zone: str, now: float) -> bool:
         """Return whether a zone is probably unreachable.
 
         An endpoint's answer well after the last datagram of an instance proves
@@ -63,7 +63,7 @@
             return False
         return times.answer_at < silent_at or times.failure_at > times.answer_at
 
-    def is_heard(self, zone: str, now: float) -> bool:
+    def has_live_instance(self, zone: str, now: float) -> bool:
         """Return whether a datagram of an instance came lately."""
         times = self._zones.get(zone)
         if times is None or times.peer_at is None:
--- a/src/kelproad/coordination/ingress/readers.py
+++ b/src/kelproad/coordination/ingress/readers.py
@@ -14,12 +14,12 @@
 
 from .tablestates import Provenance
 
-__all__ = ['OLDEST_TOLD', 'Reader', 'ReaderChoice']
+__all__ = ['MAX_RELAYED_AGE', 'Reader', 'ReaderSelector']
 
 #: Seconds of age from which a table is not relayed: the reader of a healthy
 #: store and two relays after it are at most 1.6 s behind, and keys are trusted
 #: for 3.5 s.
-OLDEST_TOLD = 2.0
+MAX_RELAYED_AGE = 2.0
 #: Seconds for which an instance that did not answer is not queried again.
 _AVOIDED_SECONDS = 3.0
 #: The same for one that refused, having no table to serve: it may have begun
@@ -56,7 +56,7 @@
         return self.provenance in {Provenance.OTHER_ZONE, Provenance.STORE}
 
 
-class ReaderChoice:
+class ReaderSelector:
     """Chooses the instance to query, if there is one."""
 
     def __init__(
@@ -100,7 +100,7 @@
         """Query other instances for a while, as this one did not answer."""
         self._avoid_for(reader, _AVOIDED_SECONDS, now)
 
-    def note_refusal(self, reader: Reader, now: float) -> None:
+    def record_refusal(self, reader: Reader, now: float) -> None:
         """Query other instances briefly, as this one has no table to serve."""
         self._avoid_for(reader, _REFUSED_SECONDS, now)
 
--- a/src/kelproad/coordination/ingress/relaying.py
+++ b/src/kelproad/coordination/ingress/relaying.py
@@ -24,7 +24,7 @@
 from ...transport.deadlines import monotonic, read_boottime
 from ...transport.exchanges import Reply, exchange
 from .probing import Freshness
-from .readers import OLDEST_TOLD, Reader, ReaderChoice
+from .readers import MAX_RELAYED_AGE, Reader, ReaderSelector
 from .tablestates import Provenance, StoredRow, TableState
 
 __all__ = [
@@ -56,7 +56,7 @@
 
     version: int
     age: float
-    back_for: float | None
+    recovered_for: float | None
     whole: bool
     packed_rows: bytes
 
@@ -76,13 +76,13 @@
 
     _table: str
     _zone: str
-    _readers: ReaderChoice
+    _readers: ReaderSelector
     _probe: Callable[[Reader], Awaitable[Freshness | None]]
     _session: aiohttp.ClientSession
     _port: int
     _counters: Counters
 
-    async def ask(self, after: int | None) -> TableState | None:
+    async def query(self, after: int | None) -> TableState | None:
         """Query what changed since a version, or all rows.
 
         Returns
@@ -108,7 +108,7 @@
             )
             return None
         within_zone = reader.zone == self._zone
-        return _leave_out_old(
+        return _discard_stale(
             attrs.evolve(
                 replied.unwrap(),
                 provenance=(
@@ -132,7 +132,7 @@
             return Failure('no answer')
         table = freshness.tables.get(self._table)
         if table is None:
-            self._readers.note_refusal(reader, monotonic())
+            self._readers.record_refusal(reader, monotonic())
             return Failure('the table is not relayed by this instance')
         if after is None or after < table.changed_at:
             return await self._fetch(reader, after)
@@ -143,8 +143,8 @@
                 whole=False,
                 # An answer that the query for another table brought is older
                 # than this query.
-                age=table.age + max(0, queried_at - freshness.asked_at),
-                back_for=_read_back_for(table.back_for),
+                age=table.age + max(0, queried_at - freshness.queried_at),
+                recovered_for=_decode_recovered_for(table.recovered_for),
             ),
         )
 
@@ -170,25 +170,27 @@
         return replied
 
 
-def _leave_out_old(state: TableState) -> TableState | None:
+def _discard_stale(state: TableState) -> TableState | None:
     """Discard a state that is so old that the store should be queried.
 
     Its reader is not avoided, but queried again: it may be the first to notice
     that the store has recovered.
     """
-    return state if state.age <= OLDEST_TOLD else None
+    return state if state.age <= MAX_RELAYED_AGE else None
 
 
 def build_answer(state: TableState | None) -> web.Response:
     """Build the answer to a peer's query; 409 for a table not relayed here."""
     if state is None:
         return web.Response(status=_CONFLICT, text='not read here\n')
-    back_for = state.back_for if math.isfinite(state.back_for) else None
+    recovered_for = (
+        state.recovered_for if math.isfinite(state.recovered_for) else None
+    )
     packed = _pack_rows(tuple(state.rows))
     return web.Response(
         body=_encode(
             _TableReply(
-                state.version, state.age, back_for, state.whole, packed
+                state.version, state.age, recovered_for, state.whole, packed
             ),
         ),
     )
@@ -215,10 +217,10 @@
 def _read_reply(reply: Reply) -> Result[TableState, str]:
     if reply.status != _OK:
         return Failure(f'status {reply.status}')
-    return _read_told(reply.body)
+    return _decode_reply(reply.body)
 
 
-def _read_told(received: bytes) -> Result[TableState, str]:
+def _decode_reply(received: bytes) -> Result[TableState, str]:
     try:
         reply = _decode(received)
         rows = _decode_rows(zlib.decompress(reply.packed_rows))
@@ -230,10 +232,10 @@
             [StoredRow(*row) for row in rows],
             reply.whole,
             reply.age,
-            _read_back_for(reply.back_for),
+            _decode_recovered_for(reply.recovered_for),
         ),
     )
 
 
-def _read_back_for(back_for: float | None) -> float:
-    return math.inf if back_for is None else back_for
+def _decode_recovered_for(recovered_for: float | None) -> float:
+    return math.inf if recovered_for is None else recovered_for
--- a/src/kelproad/coordination/ingress/sharing.py
+++ b/src/kelproad/coordination/ingress/retries.py
@@ -10,7 +10,7 @@
 from ...state.budgets import RetryBudget
 from .settings import Bounds
 
-__all__ = ['SharedRetries']
+__all__ = ['RetryBudgets']
 
 #: Share of the permitted retries that is used: operators count in a sliding
 #: window, so a call and its retry may fall in different ones.
@@ -19,7 +19,7 @@
 _MIN_INSTANCES = 6
 
 
-class SharedRetries:
+class RetryBudgets:
     """Retry budgets of this instance, one for each service."""
 
     def __init__(
--- a/src/kelproad/coordination/ingress/rostering.py
+++ b/src/kelproad/coordination/ingress/rostering.py
@@ -107,7 +107,9 @@
         rows = found.unwrap().rows
         for row in rows:
             self._add(row)
-        self._exchange.peers.keep_listed({row.key for row in rows}, monotonic())
+        self._exchange.peers.drop_unlisted(
+            {row.key for row in rows}, monotonic()
+        )
         return True
 
     def _add(self, row: StoredRow) -> None:
@@ -121,4 +123,4 @@
                 reason=str(error),
             )
             return
-        self._exchange.peers.introduce(row.key, decoded.host, decoded.zone)
+        self._exchange.peers.add(row.key, decoded.host, decoded.zone)
--- a/src/kelproad/coordination/ingress/placing.py
+++ b/src/kelproad/coordination/ingress/selection.py
@@ -26,21 +26,21 @@
 
 from ...state.engines import EngineProfile
 from .parts import (
-    choose_forced,
-    choose_harmless,
+    choose_least_disruptive,
+    choose_non_disruptive,
     place_parts,
     require_memory,
 )
-from .passes import (
+from .placement import CallRequirements, Candidate, NoPlacementError, Placement
+from .predictions import (
     FAILURE_SECONDS,
+    choose_lowest_score,
     count_free_slots,
     has_slot,
-    measure_allowance,
-    measure_free,
+    measure_free_memory,
+    measure_prefill_allowance,
     predict_first_token,
-    take_best,
 )
-from .placement import Candidate, Need, Placement, Unplaced
 
 __all__ = ['choose_engines', 'choose_plain']
 
@@ -76,7 +76,7 @@
 
     Raises
     ------
-    Unplaced
+    NoPlacementError
         When no candidate may answer.
     """
 
@@ -91,8 +91,8 @@
 
     able = [candidate for candidate in candidates if candidate.may_answer]
     if not able:
-        raise Unplaced('no endpoint', worth_waiting=False)
-    best, score = take_best(able, score_candidate, generator)
+        raise NoPlacementError('no endpoint', worth_waiting=False)
+    best, score = choose_lowest_score(able, score_candidate, generator)
     return Placement(
         best.endpoint,
         predicted=score + work_seconds,
@@ -102,7 +102,7 @@
 
 def choose_engines(
     candidates: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
@@ -121,7 +121,7 @@
 
     Raises
     ------
-    Unplaced
+    NoPlacementError
         When no engine has room, or when those that have are too busy for the
         prefill and the call has time to wait.
     """
@@ -131,18 +131,22 @@
         if candidate.may_answer and has_slot(candidate, profile)
     ]
     if not with_slot:
-        raise Unplaced('no engine has a slot', worth_waiting=need.may_wait)
+        raise NoPlacementError(
+            'no engine has a slot', worth_waiting=need.may_wait
+        )
     require_memory(candidates, need, profile)
     with_room = [
         candidate
         for candidate in with_slot
-        if need.memory_tokens <= measure_free(candidate, profile)
+        if need.memory_tokens <= measure_free_memory(candidate, profile)
     ]
     prefill_seconds = profile.predict_prefill(need.prompt_tokens)
     non_disruptive = [
         candidate
         for candidate in with_room
-        if measure_allowance(candidate, need, PREFILL_SHARES[0], profile)
+        if measure_prefill_allowance(
+            candidate, need, PREFILL_SHARES[0], profile
+        )
         >= prefill_seconds
     ]
     if non_disruptive:
@@ -156,7 +160,7 @@
     ]
     chosen: list[Candidate] = []
     for share in PREFILL_SHARES:
-        chosen = chosen or choose_harmless(
+        chosen = chosen or choose_non_disruptive(
             helpers,
             need,
             share,
@@ -176,7 +180,7 @@
 
 def _choose_disruptive(
     helpers: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose engines for a prompt that would disrupt streams now.
@@ -187,16 +191,18 @@
 
     Raises
     ------
-    Unplaced
+    NoPlacementError
         When it is to wait, or its first token would come after its caller has
         disconnected.
     """
     if need.may_wait:
-        raise Unplaced(
+        raise NoPlacementError(
             'engines are too busy for the prefill', worth_waiting=True
         )
-    late = need.when_late()
-    chosen = choose_forced(helpers, need, profile) or choose_harmless(
+    late = need.with_silence_timeout()
+    chosen = choose_least_disruptive(
+        helpers, need, profile
+    ) or choose_non_disruptive(
         helpers,
         late,
         PREFILL_SHARES[-1],
@@ -204,14 +210,14 @@
     )
     if chosen:
         return chosen
-    if need.may_wait_late:
-        raise Unplaced(
+    if need.may_wait_past_objective:
+        raise NoPlacementError(
             'engines are too busy for the prefill', worth_waiting=True
         )
-    chosen = choose_forced(helpers, late, profile)
+    chosen = choose_least_disruptive(helpers, late, profile)
     if chosen:
         return chosen
-    raise Unplaced(
+    raise NoPlacementError(
         'the first token would come after the caller times out',
         worth_waiting=False,
     )
@@ -219,7 +225,7 @@
 
 def _place_unsplit(
     able: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     prefill_seconds: float,
     profile: EngineProfile,
     generator: random.Random,
@@ -228,7 +234,9 @@
         return predict_first_token(candidate, prefill_seconds, profile)
 
     packed = _choose_packed(able, need, score_candidate, profile)
-    best, predicted = take_best(packed or able, score_candidate, generator)
+    best, predicted = choose_lowest_score(
+        packed or able, score_candidate, generator
+    )
     return Placement(
         best.endpoint,
         part_seconds=prefill_seconds,
@@ -239,7 +247,7 @@
 
 def _choose_packed(
     able: list[Candidate],
-    need: Need,
+    need: CallRequirements,
     score_candidate: Callable[[Candidate], float],
     profile: EngineProfile,
 ) -> list[Candidate]:
@@ -262,9 +270,9 @@
     near = [candidate for candidate in decoding if candidate.delay == nearest]
     # An engine whose streams all tolerate long gaps can prefill prompt parts
     # beside them; a gap-sensitive stream would end that.
-    near = [candidate for candidate in near if candidate.work.tight_calls] or (
-        near
-    )
+    near = [
+        candidate for candidate in near if candidate.work.gap_sensitive_calls
+    ] or (near)
     most_calls = max(candidate.work.calls for candidate in near)
     return [
         candidate for candidate in near if candidate.work.calls == most_calls
--- a/src/kelproad/coordination/ingress/sending.py
+++ b/src/kelproad/coordination/ingress/sending.py
@@ -23,17 +23,17 @@
     collect,
 )
 from .delivery import StreamDelivery
-from .memory import MemoryKeeper, Reservation
+from .memory import MemoryReserver, Reservation
 from .opening import await_head
-from .patience import (
-    choose_blame,
-    choose_first_patience,
-    choose_plain_patience,
-    choose_stream_patience,
-)
 from .placement import Placement
-from .sharing import SharedRetries
-from .watching import EngineWatch
+from .retries import RetryBudgets
+from .timeouts import (
+    choose_fault_threshold,
+    choose_first_event_timeout,
+    choose_plain_timeout,
+    choose_stall_timeout,
+)
+from .watching import EngineSpeedMonitor
 
 __all__ = ['Sender']
 
@@ -71,7 +71,7 @@
             for reservation in self.reservations
         }
         return Forwarding(
-            endpoint=self.placement.first.name,
+            endpoint=self.placement.primary.name,
             time_left=call.remaining(monotonic()),
             workspace=call.workspace.name if call.workspace else '',
             helpers=tuple(
@@ -88,10 +88,10 @@
     def __init__(
         self,
         client: EndpointClient,
-        memory: MemoryKeeper,
+        memory: MemoryReserver,
         ledger: WorkLedger,
-        retries: SharedRetries,
-        watch: EngineWatch,
+        retries: RetryBudgets,
+        watch: EngineSpeedMonitor,
     ) -> None:
         """Send with a client, and reserve memory where a placement needs it.
 
@@ -127,7 +127,7 @@
                     Ran.NO,
                     arrived=False,
                     blameless=True,
-                    avoid=reserved.failure().name,
+                    exclude=reserved.failure().name,
                 ),
             )
         attempt = attrs.evolve(attempt, reservations=reserved.unwrap())
@@ -163,7 +163,7 @@
     ) -> _SendResult:
         """Renew reservations until the exchange ends or its engine is lost."""
         renewal = asyncio.create_task(
-            self._memory.keep(attempt.reservations, attempt.placement.first),
+            self._memory.keep(attempt.reservations, attempt.placement.primary),
         )
         try:
             await asyncio.wait(
@@ -186,14 +186,14 @@
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return None
         placement = attempt.placement
-        endpoint = placement.first
+        endpoint = placement.primary
 
         def is_stalled(silence: float) -> bool:
-            self._watch.note_pause(attempt.call.service, endpoint, silence)
+            self._watch.record_stall(attempt.call.service, endpoint, silence)
             if self._watch.is_silent(endpoint):
                 return True
             work = self._ledger.sum_at(endpoint.name, monotonic())
-            return silence >= choose_stream_patience(placement, work)
+            return silence >= choose_stall_timeout(placement, work)
 
         return is_stalled
 
@@ -221,10 +221,10 @@
         opening = self._client.open(
             call,
             attempt.received,
-            attempt.placement.first,
+            attempt.placement.primary,
             attempt.build_forwarding(),
             self._choose_head_deadline(attempt),
-            choose_blame(call),
+            choose_fault_threshold(call),
         )
         return await await_head(
             opening,
@@ -236,8 +236,8 @@
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return False
         placement = attempt.placement
-        self._watch.note_wait(placement.first, waited, placement.predicted)
-        return self._watch.is_silent(placement.first)
+        self._watch.record_wait(placement.primary, waited, placement.predicted)
+        return self._watch.is_silent(placement.primary)
 
     def _choose_head_deadline(self, attempt: _Attempt) -> float:
         """Choose the monotonic time until which to wait for the head.
@@ -248,9 +248,9 @@
         """
         call = attempt.call
         if call.kind is CallKind.RESUMABLE_STREAM:
-            timeout = choose_first_patience(attempt.placement)
+            timeout = choose_first_event_timeout(attempt.placement)
         elif self._may_be_retried(call):
-            timeout = choose_plain_patience(call)
+            timeout = choose_plain_timeout(call)
         else:
             return call.deadline
         return min(call.deadline, monotonic() + timeout)
@@ -263,7 +263,7 @@
         """
         return (
             call.kind.repeatable
-            and call.attempts < call.route.most_endpoints
+            and call.attempts < call.route.max_endpoints
             and self._retries.affords(call.service)
         )
 
--- a/src/kelproad/coordination/ingress/surfaces.py
+++ b/src/kelproad/coordination/ingress/servers.py
@@ -17,7 +17,7 @@
 from .settings import NodeSettings
 from .tablestates import TableState
 
-__all__ = ['Surfaces', 'describe_endpoints', 'describe_work']
+__all__ = ['NodeServers', 'describe_endpoints', 'describe_work']
 
 #: Seconds that idle connections of callers are kept: longer than the idle time
 #: up to which operators let callers reuse one.
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Surfaces:
+class NodeServers:
     """Creates the HTTP servers of an instance."""
 
     _settings: NodeSettings
@@ -60,7 +60,7 @@
             lambda: self._counters.malformed.inc({'side': 'callers'}),
             keepalive=_CALLER_KEEPALIVE,
             decode_bodies=False,
-            farewell=_SHUTDOWN_SECONDS,
+            shutdown_timeout=_SHUTDOWN_SECONDS,
             header_bytes=_HEADER_BYTES,
         )
 
@@ -131,7 +131,7 @@
 
 def describe_work(ledger: WorkLedger) -> dict[str, object]:
     """Describe this instance's work in flight, by endpoint."""
-    return {name: attrs.asdict(work) for name, work in ledger.own.items()}
+    return {name: attrs.asdict(work) for name, work in ledger.local.items()}
 
 
 def describe_endpoints(table: EndpointTable, now: float) -> dict[str, object]:
--- a/src/kelproad/coordination/ingress/spillover.py
+++ b/src/kelproad/coordination/ingress/spillover.py
@@ -16,10 +16,10 @@
 from ...transport.deadlines import monotonic
 from .peers import PeerRegister
 from .queries import PeerQueries, WorkQuery, WorkReply
-from .reach import ZoneReach
-from .updates import read_work, tell_work
+from .reachability import ZoneReachability
+from .updates import pack_work, unpack_work
 
-__all__ = ['ZoneSpillover', 'answer_work']
+__all__ = ['ZoneSpillover', 'answer_work_query']
 
 #: Seconds for a reply.  Without one the zone is not used for the call.
 _REPLY_TIMEOUT = 0.05
@@ -37,7 +37,7 @@
         zone: str,
         queries: PeerQueries,
         peers: PeerRegister,
-        reach: ZoneReach,
+        reach: ZoneReachability,
         ledger: WorkLedger,
         observations: EngineObservations,
         generator: random.Random,
@@ -57,9 +57,9 @@
     @property
     def is_needed(self) -> bool:
         """Whether instances of other zones don't report their work anyway."""
-        return not self._peers.all_told
+        return not self._peers.is_full_mesh
 
-    def knows(self, zone: str, now: float) -> bool:
+    def has_current_work(self, zone: str, now: float) -> bool:
         """Return whether the work at the engines of a zone is known."""
         if zone == self._zone or not self.is_needed:
             return True
@@ -79,8 +79,8 @@
             await asyncio.gather(
                 *(
                     self._query(zone, members)
-                    for zone, members in self._peers.list_far_hosts().items()
-                    if not self._reach.is_doubtful(zone, monotonic())
+                    for zone, members in self._peers.list_remote_hosts().items()
+                    if not self._reach.is_suspect(zone, monotonic())
                 ),
             )
         finally:
@@ -88,18 +88,18 @@
 
     async def _query(self, zone: str, hosts: list[str]) -> None:
         host = self._generator.choice(hosts)
-        answer = await self._queries.ask(WorkQuery, host, _REPLY_TIMEOUT)
+        answer = await self._queries.query(WorkQuery, host, _REPLY_TIMEOUT)
         if not isinstance(answer, WorkReply):
             return
         now = monotonic()
         self._known_at[zone] = now
         # The ledger holds the work of a whole zone like that of one peer.
-        self._ledger.accept_peer(f'zone {zone}', read_work(answer.work), now)
+        self._ledger.accept_peer(f'zone {zone}', unpack_work(answer.work), now)
         self._observations.accept_refusing(answer.refusing, now)
         self._observations.accept_slow(answer.slow, zone, now)
 
 
-def answer_work(
+def answer_work_query(
     query: WorkQuery,
     zone: str,
     table: EndpointTable,
@@ -109,7 +109,7 @@
 ) -> WorkReply:
     """Build the reply with the work in flight at the engines of a zone."""
     now = monotonic()
-    known = ledger.sum_without(peers.list_in_zone(query.zone), now)
+    known = ledger.sum_excluding(peers.list_in_zone(query.zone), now)
     here = {
         name: work
         for name, work in known.items()
@@ -118,7 +118,7 @@
     slowdowns = {name: observations.find_slowdown(name, now) for name in here}
     return WorkReply(
         query.token,
-        tell_work(here),
+        pack_work(here),
         [name for name in here if observations.refuses_help(name, now)],
         {name: factor for name, factor in slowdowns.items() if factor > 1},
     )
--- a/src/kelproad/coordination/ingress/stopping.py
+++ b/src/kelproad/coordination/ingress/stopping.py
@@ -95,10 +95,10 @@
         deadline
             Monotonic time at which its answer must have ended, in seconds.
         """
-        left = self._drain.measure_left()
+        left = self._drain.seconds_until_end()
         if math.isinf(left):
             return True
-        is_late = self._drain.is_late
+        is_late = self._drain.has_grace_ended
         if is_late and route.kind.streams:
             needed = deadline - monotonic()
         else:
@@ -115,16 +115,16 @@
         )
         return needed <= left
 
-    def may_begin(self, call: Call) -> bool:
+    def may_begin_answer(self, call: Call) -> bool:
         """Return whether the answer to an accepted call may still begin.
 
         A call that was accepted early in a stop may be sent late in it: it
         waited for an engine, its body arrived slowly, or an endpoint did not
         respond.  Its stream would be cut like that of a late call.
         """
-        if not (self._drain.is_late and call.kind.streams):
+        if not (self._drain.has_grace_ended and call.kind.streams):
             return True
-        return call.remaining(monotonic()) <= self._drain.measure_left()
+        return call.remaining(monotonic()) <= self._drain.seconds_until_end()
 
     def until_end(self) -> contextlib.AbstractAsyncContextManager[None]:
         """Run a call until it is done, or the stop has ended.
--- a/src/kelproad/coordination/ingress/tables.py
+++ b/src/kelproad/coordination/ingress/tables.py
@@ -15,11 +15,11 @@
 
 from ...state.endpoints import EndpointTable
 from .caching import TableCache
-from .decoding import DecodedState, Said
+from .decoding import DecodedState, Payload
 from .endpoints import EndpointRegistry, ListedEndpoint
 from .following import PeerTable, TableFollower, TableSource
 from .holder import ConfigurationHolder
-from .readers import OLDEST_TOLD
+from .readers import MAX_RELAYED_AGE
 from .settings import Bounds
 from .store import NodeStore
 from .tablestates import Provenance, StoredRow, TableState
@@ -51,24 +51,24 @@
         Version at which the table last changed.
     age
         Seconds since the store confirmed it.
-    back_for
+    recovered_for
         Seconds since the store recovered, ``None`` if it never failed.
     """
 
     version: int
     changed_at: int
     age: float
-    back_for: float | None
+    recovered_for: float | None
 
 
 @attrs.frozen
-class _Followed:
+class _FollowedTable:
     """A table that is kept current here, and relayed to peers."""
 
     follower: TableFollower
     cache: TableCache
 
-    def may_tell(self, within_zone: bool) -> bool:
+    def may_relay(self, within_zone: bool) -> bool:
         """Return whether it may be relayed to peers of this zone, or another.
 
         A table from the local zone is relayed to nobody, one from another zone
@@ -82,12 +82,12 @@
 
     def describe_freshness(self) -> TableFreshness:
         """Describe the freshness as of now, for peers."""
-        back_for = self.follower.measure_back()
+        recovered_for = self.follower.measure_since_recovery()
         return TableFreshness(
             self.cache.version,
             self.cache.changed_at,
             self.follower.measure_age(),
-            back_for if math.isfinite(back_for) else None,
+            recovered_for if math.isfinite(recovered_for) else None,
         )
 
 
@@ -123,7 +123,7 @@
         self.registry = EndpointRegistry(
             table,
             # The follower is built later, as it fills the registry.
-            lambda: self.endpoints.back_at,
+            lambda: self.endpoints.recovered_at,
             bounds.leave_endpoint,
         )
         self._followed = {
@@ -152,11 +152,11 @@
             follower.provenance
             for follower in followers
             if follower.provenance is not None
-            and follower.measure_age() <= OLDEST_TOLD
+            and follower.measure_age() <= MAX_RELAYED_AGE
         ]
         return min(known) if len(known) == len(followers) else None
 
-    def tell(
+    def list_changes_for_peer(
         self,
         name: str,
         after: int | None,
@@ -170,7 +170,7 @@
             Nothing when the peer should query another instance.
         """
         followed = self._followed.get(name)
-        if followed is None or not followed.may_tell(within_zone):
+        if followed is None or not followed.may_relay(within_zone):
             return None
         changes = followed.cache.list_changes(after)
         if changes is None:
@@ -178,7 +178,7 @@
         return attrs.evolve(
             changes,
             age=followed.follower.measure_age(),
-            back_for=followed.follower.measure_back(),
+            recovered_for=followed.follower.measure_since_recovery(),
         )
 
     def describe_freshness(
@@ -189,11 +189,11 @@
         return {
             name: followed.describe_freshness()
             for name, followed in self._followed.items()
-            if followed.may_tell(within_zone)
+            if followed.may_relay(within_zone)
             and followed.cache.version is not None
         }
 
-    def _follow_configuration(self, bounds: Bounds) -> _Followed:
+    def _follow_configuration(self, bounds: Bounds) -> _FollowedTable:
         wait_seconds = min(
             _CONFIGURATION_WAIT,
             bounds.apply_configuration * _WAIT_SHARE,
@@ -207,7 +207,7 @@
             0,
         )
 
-    def _follow_endpoints(self, bounds: Bounds) -> _Followed:
+    def _follow_endpoints(self, bounds: Bounds) -> _FollowedTable:
         pause = min(_ENDPOINT_PAUSE, bounds.leave_endpoint * _PAUSE_SHARE)
         return self._follow(
             self._store.endpoints,
@@ -221,15 +221,15 @@
     def _follow(
         self,
         source: TableSource,
-        decode: Callable[[StoredRow], Said],
-        cache: TableCache[Said],
-        adopt: Callable[[DecodedState[Said]], None],
+        decode: Callable[[StoredRow], Payload],
+        cache: TableCache[Payload],
+        adopt: Callable[[DecodedState[Payload]], None],
         wait_seconds: float,
         pause: float,
-    ) -> _Followed:
+    ) -> _FollowedTable:
         def update(state: TableState) -> None:  # noqa: WPS430  closure
             decoded = DecodedState.from_state(state, decode)
-            cache.take(decoded)
+            cache.update(decoded)
             adopt(decoded)
 
         follower = TableFollower(
@@ -240,7 +240,7 @@
             self._generator,
             self._open_peer_table(source.name),
         )
-        return _Followed(follower, cache)
+        return _FollowedTable(follower, cache)
 
     def _adopt_configuration(self, state: DecodedState[bytes | None]) -> None:
         for decoded in state.rows:
--- a/src/kelproad/coordination/ingress/tablestates.py
+++ b/src/kelproad/coordination/ingress/tablestates.py
@@ -62,7 +62,7 @@
         Whether these are all rows, or those that changed.
     age
         Seconds since another instance read this, when it was relayed.
-    back_for
+    recovered_for
         Seconds since the store recovered there, if it had failed.
     provenance
         Whether it comes from the store, or an instance of which zone.
@@ -72,5 +72,5 @@
     rows: list[StoredRow]
     whole: bool
     age: float = 0
-    back_for: float = math.inf
+    recovered_for: float = math.inf
     provenance: Provenance = Provenance.STORE
--- a/src/kelproad/coordination/ingress/patience.py
+++ b/src/kelproad/coordination/ingress/timeouts.py
@@ -7,10 +7,10 @@
 from .placement import Placement
 
 __all__ = [
-    'choose_blame',
-    'choose_first_patience',
-    'choose_plain_patience',
-    'choose_stream_patience',
+    'choose_fault_threshold',
+    'choose_first_event_timeout',
+    'choose_plain_timeout',
+    'choose_stall_timeout',
 ]
 
 #: Seconds without an event after which a running stream counts as stalled.
@@ -28,7 +28,7 @@
 _PLAIN_TIMEOUT_RATIO = 1.5
 
 
-def choose_first_patience(placement: Placement) -> float:
+def choose_first_event_timeout(placement: Placement) -> float:
     """Choose the seconds to wait for the first event of a stream."""
     return max(
         _STALL_SECONDS,
@@ -36,7 +36,7 @@
     )
 
 
-def choose_stream_patience(placement: Placement, work: EndpointWork) -> float:
+def choose_stall_timeout(placement: Placement, work: EndpointWork) -> float:
     """Choose the seconds to wait for the next event of a stream.
 
     An engine that prefills a long prompt is silent for that long; giving it up
@@ -44,18 +44,18 @@
     """
     prefill = _PREFILL_RATIO * work.prefill_seconds
     tolerated = min(_STALL_SECONDS / 2 + prefill, _MAX_STALL_SECONDS)
-    return max(choose_first_patience(placement), tolerated)
+    return max(choose_first_event_timeout(placement), tolerated)
 
 
-def choose_plain_patience(call: Call) -> float:
+def choose_plain_timeout(call: Call) -> float:
     """Choose the seconds after which a plain call is sent elsewhere."""
     return call.route.objective * _PLAIN_TIMEOUT_RATIO
 
 
-def choose_blame(call: Call) -> float:
+def choose_fault_threshold(call: Call) -> float:
     """Choose the seconds of silence that count as a fault of the endpoint.
 
     Engines may miss a deadline because of their load, which is no failure.
     Callers choose deadlines, and very short ones must not eject endpoints.
     """
-    return math.inf if call.kind.streams else choose_plain_patience(call)
+    return math.inf if call.kind.streams else choose_plain_timeout(call)
--- a/src/kelproad/coordination/ingress/updates.py
+++ b/src/kelproad/coordination/ingress/updates.py
@@ -9,15 +9,15 @@
 __all__ = [
     'PeerUpdate',
     'ZoneReader',
-    'ToldWork',
+    'ReportedWork',
     'decode_update',
     'encode_update',
-    'read_work',
-    'tell_work',
+    'unpack_work',
+    'pack_work',
 ]
 
 
-class ToldWork(msgspec.Struct, array_like=True):
+class ReportedWork(msgspec.Struct, array_like=True):
     """Work at one endpoint, as reported to peers.
 
     New fields go to the end and have a default, as instances of two versions
@@ -60,7 +60,7 @@
     sequence: int
     leaving: bool
     unconfirmed_for: float | None
-    work: list[ToldWork]
+    work: list[ReportedWork]
     refusing: list[str] = []
     slow: dict[str, float] = {}
     provenance: Provenance | None = None
@@ -79,10 +79,10 @@
         return Failure(str(error))
 
 
-def tell_work(by_endpoint: dict[str, EndpointWork]) -> list[ToldWork]:
+def pack_work(by_endpoint: dict[str, EndpointWork]) -> list[ReportedWork]:
     """Convert work to its form in datagrams, seconds rounded to 0.1 ms."""
     return [
-        ToldWork(
+        ReportedWork(
             name,
             work.calls,
             work.context_tokens,
@@ -94,7 +94,7 @@
     ]
 
 
-def read_work(reported: list[ToldWork]) -> dict[str, EndpointWork]:
+def unpack_work(reported: list[ReportedWork]) -> dict[str, EndpointWork]:
     """Convert reported work from its form in datagrams, by endpoint."""
     return {
         work.endpoint: EndpointWork(
--- a/src/kelproad/coordination/ingress/verdicts.py
+++ b/src/kelproad/coordination/ingress/verdicts.py
@@ -11,14 +11,14 @@
 from ...state.records import record
 from ...state.refusals import Ran, Refusal, RefusalCode, Step
 from ...transport.deadlines import monotonic
-from ..ejection import note_outcome
+from ..ejection import record_outcome
 from .attempts import AttemptFailure
 from .placement import Placement
 from .progress import Progress
-from .reach import ZoneReach
-from .sharing import SharedRetries
+from .reachability import ZoneReachability
+from .retries import RetryBudgets
 
-__all__ = ['Verdicts', 'find_blamed']
+__all__ = ['AttemptEvaluator', 'find_faulty_endpoint']
 
 _logger = logging.getLogger(__name__)
 #: Seconds before its deadline from which on a call is not retried: less than a
@@ -33,12 +33,12 @@
 
 
 @attrs.frozen
-class Verdicts:
+class AttemptEvaluator:
     """Evaluates attempts that have ended."""
 
     _table: EndpointTable
-    _retries: SharedRetries
-    _reach: ZoneReach
+    _retries: RetryBudgets
+    _reach: ZoneReachability
     _observations: EngineObservations
     _counters: Counters
 
@@ -50,7 +50,7 @@
     ) -> None:
         """Record the outcome of an attempt: endpoint state, metrics and log."""
         now = monotonic()
-        endpoint = placement.first
+        endpoint = placement.primary
         self._counters.attempts.inc(
             {
                 'group': call.service,
@@ -59,17 +59,17 @@
         )
         zone = endpoint.declaration.zone
         if failure is None or failure.arrived:
-            self._reach.note_answer(zone, now)
+            self._reach.record_answer(zone, now)
         if failure is None:
-            note_outcome(self._table, endpoint, None, now, self._counters)
+            record_outcome(self._table, endpoint, None, now, self._counters)
             return
         self._log_failure(call, endpoint, failure, now)
         if not (failure.arrived or failure.blameless):
-            self._reach.note_unreached(zone, now)
+            self._reach.record_connect_failure(zone, now)
         if not failure.blameless:
             self._record_fault(placement, failure, now)
 
-    def explain_stop(
+    def check_retry(
         self,
         call: Call,
         progress: Progress,
@@ -84,7 +84,7 @@
             return _refuse(RefusalCode.DEADLINE_EXCEEDED, failure.reason)
         if failure.ran is not Ran.NO and not call.kind.repeatable:
             return _refuse(RefusalCode.ENDPOINT_FAILED, failure.reason)
-        if progress.is_spent(call.route.most_endpoints):
+        if progress.is_exhausted(call.route.max_endpoints):
             return _refuse(RefusalCode.NO_CAPACITY, failure.reason)
         # No endpoint has seen a call that did not arrive: sending it again adds
         # no load and needs no retry from the budget.
@@ -100,14 +100,14 @@
         failure: AttemptFailure,
         now: float,
     ) -> None:
-        endpoint = find_blamed(placement, failure)
-        if endpoint is not placement.first:
-            self._observations.note_refusal(endpoint.name, now)
+        endpoint = find_faulty_endpoint(placement, failure)
+        if endpoint is not placement.primary:
+            self._observations.record_refusal(endpoint.name, now)
         if failure.misdirected:
             # Another endpoint answered: no evidence on the health of this one.
-            endpoint.disowned_until = now + _DISOWNED_SECONDS
+            endpoint.misdirected_until = now + _DISOWNED_SECONDS
             return
-        note_outcome(
+        record_outcome(
             self._table,
             endpoint,
             _refuse(RefusalCode.ENDPOINT_FAILED, failure.reason),
@@ -136,12 +136,14 @@
         )
 
 
-def find_blamed(placement: Placement, failure: AttemptFailure) -> Endpoint:
+def find_faulty_endpoint(
+    placement: Placement, failure: AttemptFailure
+) -> Endpoint:
     """Return the helper that the answering engine named, or that engine."""
     for helper in placement.helpers:
         if failure.fault == helper.declaration.address:
             return helper
-    return placement.first
+    return placement.primary
 
 
 def _refuse(code: RefusalCode, message: str) -> Refusal:
--- a/src/kelproad/coordination/ingress/watching.py
+++ b/src/kelproad/coordination/ingress/watching.py
@@ -18,9 +18,9 @@
 from ...state.work import WorkLedger
 from ...transport.deadlines import monotonic
 from .holder import ConfigurationHolder
-from .passes import predict_work_pass
+from .predictions import predict_pass
 
-__all__ = ['EngineWatch']
+__all__ = ['EngineSpeedMonitor']
 
 _logger = logging.getLogger(__name__)
 #: Multiple of its prediction, and seconds beyond that, after which a pass makes
@@ -28,16 +28,16 @@
 _SUSPECT_RATIO = 1.6
 _SUSPECT_SECONDS = 0.03
 #: Seconds between two queries to one engine.
-_ASK_PERIOD = 1.0
+_QUERY_PERIOD = 1.0
 #: Multiple of the published time from which on an engine counts as slow.
 _SLOW_FACTOR = 1.2
 #: Queries in a row without an answer after which an engine counts as lost, and
 #: after which it is no longer queried.
 _SILENT_QUERIES = 2
-_MOST_ASKS = 8
+_MAX_QUERIES = 8
 
 
-class EngineWatch:
+class EngineSpeedMonitor:
     """Queries engines that fall behind for their slowdown."""
 
     def __init__(
@@ -60,7 +60,7 @@
         self._read_slowdown = read_slowdown
         self._polls: dict[str, asyncio.Task[None]] = {}
 
-    def note_pause(
+    def record_stall(
         self,
         service: str,
         endpoint: Endpoint,
@@ -73,10 +73,10 @@
         now = monotonic()
         work = self._ledger.sum_at(endpoint.name, now)
         slowdown = self._observations.find_slowdown(endpoint.name, now)
-        expected = predict_work_pass(work, profile) * slowdown
-        self.note_wait(endpoint, seconds, expected)
+        expected = predict_pass(work, profile) * slowdown
+        self.record_wait(endpoint, seconds, expected)
 
-    def note_wait(
+    def record_wait(
         self,
         endpoint: Endpoint,
         seconds: float,
@@ -96,7 +96,7 @@
         """Query an engine until it is as fast as published again."""
         unanswered = 0
         try:
-            while unanswered < _MOST_ASKS:
+            while unanswered < _MAX_QUERIES:
                 answered = await self._read_slowdown(
                     endpoint.declaration.address,
                 )
@@ -105,9 +105,9 @@
                     self._record_silence(endpoint, unanswered)
                     continue
                 unanswered = 0
-                self._observations.note_answer(endpoint.name)
+                self._observations.record_answer(endpoint.name)
                 self._record_slowdown(endpoint, answered.unwrap())
-                await asyncio.sleep(_ASK_PERIOD)
+                await asyncio.sleep(_QUERY_PERIOD)
                 if answered.unwrap() < _SLOW_FACTOR or self._is_polled_by_peer(
                     endpoint
                 ):
@@ -119,7 +119,7 @@
         if unanswered == _SILENT_QUERIES:
             record(_logger, 'engine_silent', endpoint=endpoint.name)
         if unanswered >= _SILENT_QUERIES:
-            self._observations.note_silence(endpoint.name, monotonic())
+            self._observations.record_silence(endpoint.name, monotonic())
 
     def _is_polled_by_peer(self, endpoint: Endpoint) -> bool:
         """Return whether a peer with an earlier name queries the engine."""
@@ -130,7 +130,7 @@
         now = monotonic()
         known = self._observations.find_slowdown(endpoint.name, now)
         slow = slowdown >= _SLOW_FACTOR
-        self._observations.note_slowdown(
+        self._observations.record_slowdown(
             endpoint.name,
             slowdown if slow else 1,
             now,
--- a/src/kelproad/coordination/instance.py
+++ b/src/kelproad/coordination/instance.py
@@ -19,10 +19,10 @@
 from ..state.members import MemberTable
 from ..state.requests import DecisionLog, RequestTable
 from ..transport.addresses import Address
-from ..transport.http import create_fresh_session, create_session
+from ..transport.http import create_session, create_single_use_session
 from ..transport.services import BackgroundService
 from .acceptance import ConfigurationWriter
-from .accounts import Accounts
+from .accounting import RequestAccounting
 from .attempts import Attempts
 from .claims import Claims
 from .completions import Completions
@@ -32,11 +32,11 @@
 from .entry import Entry
 from .membership import Membership
 from .operators import OperatorApi
-from .orders import OrderKeeper
+from .orders import OrderController
 from .orphans import OrphanWatch
 from .plain import PlainCalls
 from .reclamation import Canceller
-from .sides import CallerSide, create_servers
+from .sides import CallerApi, create_servers
 from .watch import Watch
 
 __all__ = ['Instance']
@@ -117,8 +117,8 @@
         self._membership.draining = True
         self._membership.announce()
         left = await self._drain.finish()
-        self._drain.end()
-        await self._drain.settle(_ANSWER_LIMIT)
+        self._drain.interrupt_calls()
+        await self._drain.wait_until_idle(_ANSWER_LIMIT)
         await self._canceller.finish(_CANCEL_LIMIT)
         unsettled = await self._claims.finish(_CLAIM_LIMIT)
         _logger.info(
@@ -160,7 +160,7 @@
             self._counters,
             self._generator,
         )
-        self._orders = OrderKeeper(
+        self._orders = OrderController(
             self._identity,
             self._holder,
             self._table,
@@ -195,7 +195,7 @@
     def _create_entry(self) -> None:
         """Build the parts that handle requests."""
         limits = self._membership.limits
-        accounts = Accounts(
+        accounts = RequestAccounting(
             self._requests,
             self._decisions,
             limits,
@@ -249,7 +249,7 @@
         )
 
     async def _serve(self, operators: OperatorApi) -> None:
-        caller_side = CallerSide(
+        caller_side = CallerApi(
             self._entry,
             self._drain,
             self._holder,
@@ -265,7 +265,7 @@
             await self.add_runtime_dependency(server)
 
     def _open_session(self, fresh: bool = False) -> aiohttp.ClientSession:
-        create = create_fresh_session if fresh else create_session
+        create = create_single_use_session if fresh else create_session
         origin = Address.from_text(self._settings.caller_address)
         session = create(origin, trace_configs=[trace_connections()])
         self._sessions.append(session)
--- a/src/kelproad/coordination/lag.py
+++ b/src/kelproad/coordination/lag.py
@@ -67,7 +67,7 @@
     described = []
     for member in known:
         is_local = member is own
-        heard_ago = 0 if is_local else now - members.heard_at(member.name)
+        heard_ago = 0 if is_local else now - members.received_at(member.name)
         behind = highest - member.revision
         age = member.configuration_age
         age = None if age is None else age + heard_ago
--- a/src/kelproad/coordination/leases.py
+++ b/src/kelproad/coordination/leases.py
@@ -84,7 +84,7 @@
         #: When this process became the holder, and with which token.  An
         #: acquisition whose answer was lost may be in the row before it counts
         #: here.
-        self.taken_at = float('-inf')
+        self.acquired_at = float('-inf')
         self._acquired_token = 0
         self.writes = 0
 
@@ -103,7 +103,7 @@
         """Seconds between two renewals; each must complete within them."""
         return self._seconds / _RENEWALS
 
-    async def keep(self) -> bool:
+    async def acquire_or_renew(self) -> bool:
         """Renew it, or acquire it if it is free; return whether it is held."""
         if not self.is_held or self._is_due():
             async with self._lock:
@@ -116,11 +116,11 @@
             if self.is_held and self._is_due():
                 await self._renew()
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Release it, so that the next holder need not wait."""
         async with self._lock:
             was_held = self.is_held
-            self.drop()
+            self.give_up()
             if was_held:
                 body = attrs.evolve(self.body, holder='')
                 await self._platform.transact(
@@ -128,7 +128,7 @@
                     _STORE_TIMEOUT,
                 )
 
-    def drop(self) -> None:
+    def give_up(self) -> None:
         """Stop acting as the holder, because there is a newer one."""
         self._given_up = True
         self._valid_until = float('-inf')
@@ -237,7 +237,7 @@
         if is_own_write and row.version == self._version + 1:
             self._record_write(current, self._first_write_at or float('-inf'))
         elif not is_own_write and row.version != self._version:
-            self.drop()
+            self.give_up()
             self._version = row.version
             self._first_write_at = None
             self._version_seen_at = self._now()
@@ -247,7 +247,7 @@
         # A row that was lost starts with the first token again.
         if body.token != self._acquired_token or self._version == ABSENT:
             self._acquired_token = body.token
-            self.taken_at = self._now()
+            self.acquired_at = self._now()
             self._given_up = False
         self._version += 1
         self._first_write_at = None
--- a/src/kelproad/coordination/leaving.py
+++ b/src/kelproad/coordination/leaving.py
@@ -8,13 +8,13 @@
 from ..state.endpoints import EndpointTable
 from ..state.members import MemberTable
 
-__all__ = ['list_own_words', 'mark_leaving']
+__all__ = ['list_advertised_leaving', 'mark_leaving']
 
 #: Seconds after which an instance no longer advertises the list it read.
 _LISTING_VALID = 5.0
 
 
-def list_own_words(members: MemberTable, now: float) -> list[str]:
+def list_advertised_leaving(members: MemberTable, now: float) -> list[str]:
     """List the endpoints that the platform removes, to advertise to peers.
 
     Only what the platform itself reported recently is included.  Reports of
--- a/src/kelproad/coordination/limits.py
+++ b/src/kelproad/coordination/limits.py
@@ -39,7 +39,7 @@
 #: Seconds for which a sum of the members' demand is reused.
 _SUM_PERIOD = 0.5
 #: Number of workspaces whose demand is advertised to peers, busiest first.
-MOST_TOLD = 32
+MAX_ADVERTISED_WORKSPACES = 32
 #: Bounds of the Retry-After of a refusal, in seconds.
 _SHORTEST_WAIT = 0.05
 _LONGEST_WAIT = 60.0
@@ -82,7 +82,7 @@
         self._counters = counters
         self._usage: dict[str, Usage] = {}
         self._request_tokens: dict[str, int] = {}
-        self._parts: dict[str, float] = {}
+        self._shares: dict[str, float] = {}
         self._peer_demand = _PeerDemand()
 
     def admit(self, request: Request) -> Result[Request, Refusal]:
@@ -90,7 +90,7 @@
         now = monotonic()
         workspace = request.workspace
         usage = self._usage.setdefault(workspace.name, Usage())
-        usage.note_asked(request.prompt_tokens, now)
+        usage.record_request(request.prompt_tokens, now)
         part = self._find_share(workspace.name, usage, now)
         wait, limit = _find_wait(workspace, usage, part, request, now)
         if wait > 0:
@@ -122,7 +122,7 @@
         tokens = self._request_tokens.pop(request.request_id)
         usage.in_flight -= tokens
         usage.in_progress -= 1
-        usage.note_finished(tokens, monotonic())
+        usage.record_finished(tokens, monotonic())
         invariants.check(
             usage.in_flight >= 0 and usage.in_progress >= 0,
             'workspace_accounts_never_negative',
@@ -138,7 +138,7 @@
         }
         self._drop_idle(demands)
         busiest = heapq.nlargest(
-            MOST_TOLD,
+            MAX_ADVERTISED_WORKSPACES,
             demands,
             key=lambda name: _compute_load(demands[name]),
         )
@@ -157,7 +157,7 @@
         for name, demand in demands.items():
             if self._usage[name].is_idle(demand):
                 self._usage.pop(name)
-                self._parts.pop(name, None)
+                self._shares.pop(name, None)
 
     def _is_above_fair_share(self, request: Request) -> bool:
         """Return whether a workspace has more in flight than its weight allows.
@@ -188,12 +188,12 @@
         """Return this instance's share of a workspace's limits."""
         if now - self._peer_demand.summed_at >= _SUM_PERIOD:
             self._peer_demand = self._sum_peer_demand(now)
-        if self._peer_demand.has_quorum or name not in self._parts:
+        if self._peer_demand.has_quorum or name not in self._shares:
             local_load = _compute_load(usage.measure_demand(now))
-            self._parts[name] = _compute_share(
+            self._shares[name] = _compute_share(
                 local_load, name, self._peer_demand
             )
-        return self._parts[name]
+        return self._shares[name]
 
     def _sum_peer_demand(self, now: float) -> _PeerDemand:
         live = self._members.live(now)
--- a/src/kelproad/coordination/membership.py
+++ b/src/kelproad/coordination/membership.py
@@ -35,8 +35,8 @@
 from ..transport.peers import PeerLink, PeerListener
 from ..transport.services import BackgroundService
 from .configuration import ConfigurationFollower, list_changes
-from .gossip import PERIOD, Gossiper, Place
-from .leaving import list_own_words, mark_leaving
+from .gossip import PERIOD, Gossiper, Location
+from .leaving import list_advertised_leaving, mark_leaving
 from .limits import WorkspaceLimits
 
 __all__ = ['Membership']
@@ -89,7 +89,7 @@
         self._counters = counters
         self._clock = clock
         self._gossiper = Gossiper(
-            Place(
+            Location(
                 identity.instance,
                 identity.zone,
                 settings.region,
@@ -148,7 +148,7 @@
             case ChangesWanted() as wanted:
                 self._send_changes(wanted)
             case Changes() as changes:
-                await self._follower.take_changes(changes)
+                await self._follower.accept_changes(changes)
 
     def leave(self) -> None:
         """Send a departure message to every peer.
@@ -190,7 +190,7 @@
             instance.peer_address: instance.zone
             for instance in listing.instances
         }
-        self._members.note_listing(
+        self._members.record_listing(
             frozenset(instance.name for instance in listing.instances),
             frozenset(listing.leaving_endpoints),
             self._clock(),
@@ -217,7 +217,7 @@
             configuration_age=self._follower.finite_age,
             configuration_fault=self._follower.fault,
             pending_files=list(self._holder.current.pending),
-            withheld=sorted(self._table.withheld_here),
+            withheld=sorted(self._table.withheld_locally),
             dispatched={
                 name: endpoint.own_tokens
                 for name, endpoint in self._table.all().items()
@@ -229,16 +229,16 @@
                     age=_round_age(now - endpoint.reported_at),
                 )
                 for endpoint in self._table.all().values()
-                if endpoint.read_here
+                if endpoint.read_locally
                 and now - endpoint.reported_at <= _REPORT_RETENTION
             ],
             demand=self.limits.describe_demand(),
             dispatched_by_class={
-                name: endpoint.own_by_class.copy()
+                name: endpoint.local_by_class.copy()
                 for name, endpoint in self._table.all().items()
                 if endpoint.own_tokens
             },
-            leaving=list_own_words(self._members, now),
+            leaving=list_advertised_leaving(self._members, now),
         )
 
     def _send_records(self, addresses: list[str]) -> None:
@@ -257,7 +257,7 @@
         if self._last_round_at is not None:
             pause = now - self._last_round_at - PERIOD
             if pause > _PAUSE_THRESHOLD:
-                self._members.excuse(pause)
+                self._members.discount_local_pause(pause)
                 self.log.info('process was paused for %.1f s', pause)
         self._last_round_at = now
 
@@ -284,20 +284,20 @@
         self._replied_at.clear()
         kept = set(self._list_addresses(now))
         kept |= {member.peer_address for member in self._members.known()}
-        self._gossiper.keep_peers(kept)
+        self._gossiper.retain_peers(kept)
         for address in self._links.keys() - kept:
             self._links.pop(address).close()
 
     def _merge(self, members: list[Member]) -> None:
         now = self._clock()
-        self._gossiper.note_received(members)
+        self._gossiper.record_received(members)
         for member in members:
             if member.name == self._identity.instance:
                 self._reply_about_self(member, members[0])
                 continue
             if self._members.merge(member, now):
                 self._accept_reports(member, now)
-                self._follower.hear_member(member)
+                self._follower.observe_member(member)
         self._sum_dispatched()
         mark_leaving(self._table, self._members, now)
 
--- a/src/kelproad/coordination/orders.py
+++ b/src/kelproad/coordination/orders.py
@@ -34,9 +34,9 @@
 from .configuration import ConfigurationFollower
 from .failures import LoadFailures
 from .leases import Lease
-from .rollout import Situation, plan_orders
+from .rollout import RolloutState, plan_orders
 
-__all__ = ['OrderKeeper']
+__all__ = ['OrderController']
 
 #: Instances of a zone that contend for its lease.
 CANDIDATES = 2
@@ -51,7 +51,7 @@
 _MARGIN = 0.25
 
 
-class OrderKeeper(BackgroundService):
+class OrderController(BackgroundService):
     """Sends orders to the engines of the zone while it holds the lease."""
 
     abstract = False
@@ -95,7 +95,7 @@
 
     async def on_stop(self) -> None:
         """Release the lease, so that another instance need not wait."""
-        await self._lease.give_back()
+        await self._lease.release()
 
     async def reconcile(self) -> None:
         """Compare the engines with the desired state, order differences."""
@@ -106,7 +106,7 @@
         if self._is_candidate():
             desired = derive_desired(self._holder.current, self._identity.zone)
         else:
-            await self._lease.give_back()
+            await self._lease.release()
         if desired and await self._become_holder():
             await self._reconcile(desired)
         else:
@@ -152,7 +152,7 @@
         self._counters.lease_writes.add({}, added)
 
     async def _become_holder(self) -> bool:
-        is_held = await self._lease.keep()
+        is_held = await self._lease.acquire_or_renew()
         self._count_writes()
         token = self._lease.body.token
         if is_held and token != self._caught_up_token:
@@ -183,7 +183,7 @@
                 self._record_failure(desired[endpoint], state, item)
         await self._raise_tokens(desired, observed)
         plan = plan_orders(
-            Situation(
+            RolloutState(
                 desired,
                 observed,
                 self._withheld,
@@ -196,7 +196,7 @@
         self._withheld = plan.withheld
         self._notes = plan.notes
         for endpoint, order in plan.orders:
-            await self._give(desired[endpoint], order)
+            await self._send_order(desired[endpoint], order)
 
     def _record_failure(
         self,
@@ -229,7 +229,7 @@
             if state is not None
         }
 
-    async def _give(self, desired: DesiredState, order: Order) -> None:
+    async def _send_order(self, desired: DesiredState, order: Order) -> None:
         if not self._may_order(desired.group.fencing):
             return
         outcome = await self._client.give(_build_url(desired), order)
@@ -244,7 +244,7 @@
             outcome,
         )
         if outcome is OrderOutcome.FENCED:
-            self._lease.drop()
+            self._lease.give_up()
 
     async def _raise_tokens(
         self,
@@ -268,7 +268,7 @@
                     item.generation,
                     role=state.role,
                 )
-                await self._give(item, order)
+                await self._send_order(item, order)
 
     def _may_order(self, fencing: Fencing) -> bool:
         """Check the lease right before an order.
@@ -284,12 +284,12 @@
             return False
         if fencing is Fencing.ENFORCED:
             return True
-        return monotonic() - self._lease.taken_at >= limit
+        return monotonic() - self._lease.acquired_at >= limit
 
     def _apply_withheld(self) -> None:
         """Exclude the engines that any holder withholds from local routing."""
-        self._table.withheld_here = frozenset(self._withheld)
-        names = self._table.withheld_here.union(
+        self._table.withheld_locally = frozenset(self._withheld)
+        names = self._table.withheld_locally.union(
             *(member.withheld for member in self._members.live(monotonic())),
         )
         snapshot = self._holder.current
--- a/src/kelproad/coordination/orphans.py
+++ b/src/kelproad/coordination/orphans.py
@@ -24,7 +24,7 @@
 from ..transport.services import BackgroundService
 from .watch import list_watched
 
-__all__ = ['Evidence', 'OrphanWatch', 'Ownership', 'judge_held']
+__all__ = ['Evidence', 'OrphanWatch', 'OwnershipState', 'find_orphan_evidence']
 
 #: Seconds between two checks of the items that an engine holds.
 _PERIOD = 3.0
@@ -46,36 +46,36 @@
 
 
 @attrs.frozen
-class Ownership:
+class OwnershipState:
     """The state of the owners of items at one moment.
 
     Attributes
     ----------
-    own
+    local_owner
         This process as an owner: instance and incarnation.
     recorded
         Items that this process has on record.
     incarnations
         Highest known incarnation of each instance.
-    silent
+    silent_seconds
         Seconds since a record of an instance was last received.
     watched_for
         Seconds since the watch began; used for instances not in ``silent``.
     listed
         Instances on the platform's list; ``None`` if no recent list is known.
-    zones_heard
+    all_zones_live
         Whether every availability zone has a live instance.
     forgotten_after
         Seconds of silence after which an unlisted instance counts as departed.
     """
 
-    own: str
+    local_owner: str
     recorded: HoldingTable
     incarnations: dict[str, int]
-    silent: dict[str, float]
+    silent_seconds: dict[str, float]
     watched_for: float
     listed: frozenset[str] | None
-    zones_heard: bool
+    all_zones_live: bool
     forgotten_after: float
 
     def is_forgotten(self, instance: str) -> bool:
@@ -85,9 +85,9 @@
         cut off.  Then no instance of that zone is live here, so silence is
         evidence only while every zone has a live instance.
         """
-        if self.listed is None or not self.zones_heard:
+        if self.listed is None or not self.all_zones_live:
             return False
-        silent = self.silent.get(instance, self.watched_for)
+        silent = self.silent_seconds.get(instance, self.watched_for)
         return instance not in self.listed and silent > self.forgotten_after
 
 
@@ -136,7 +136,7 @@
         held = await self._engines.list_held(url, _TIMEOUT)
         ownership = self._gather_ownership()
         for item in held or []:
-            evidence = judge_held(item, ownership)
+            evidence = find_orphan_evidence(item, ownership)
             if evidence is None:
                 continue
             if not await self._release(url, item, evidence):
@@ -164,7 +164,7 @@
         )
         return released
 
-    def _gather_ownership(self) -> Ownership:
+    def _gather_ownership(self) -> OwnershipState:
         now = monotonic()
         members = self._members
         identity = self._identity
@@ -173,19 +173,23 @@
         zones = set(deployment.zones) if deployment else {''}
         recent = now - members.listed_at <= _LISTING_VALID
         known = {member.name: member.incarnation for member in members.known()}
-        return Ownership(
-            own=identity.owner,
+        return OwnershipState(
+            local_owner=identity.owner,
             recorded=self._recorded,
             incarnations={**known, identity.instance: identity.incarnation},
-            silent={name: now - members.heard_at(name) for name in known},
+            silent_seconds={
+                name: now - members.received_at(name) for name in known
+            },
             watched_for=now - self._started_at,
             listed=members.listed if recent else None,
-            zones_heard=zones <= live_zones | {identity.zone},
+            all_zones_live=zones <= live_zones | {identity.zone},
             forgotten_after=self._forgotten_after,
         )
 
 
-def judge_held(item: HeldItem, ownership: Ownership) -> Evidence | None:
+def find_orphan_evidence(
+    item: HeldItem, ownership: OwnershipState
+) -> Evidence | None:
     """Return why an item has no owner any more, or ``None`` if it may.
 
     Past its deadline nobody waits for it: its caller has been refused by then.
@@ -206,7 +210,7 @@
     replaced = int(text) < ownership.incarnations.get(instance, 0)
     if replaced and not item.attached:
         return Evidence.REPLACED
-    if item.owner == ownership.own:
+    if item.owner == ownership.local_owner:
         return _check_record(item, ownership.recorded)
     if ownership.is_forgotten(instance) and item.attached is False:
         return Evidence.FORGOTTEN
--- a/src/kelproad/coordination/outcomes.py
+++ b/src/kelproad/coordination/outcomes.py
@@ -11,8 +11,8 @@
 from .claims import Claim, Claims
 
 __all__ = [
-    'refuse_gone',
-    'refuse_late',
+    'refuse_disconnected',
+    'refuse_past_deadline',
     'repeat_answer',
     'settle_outcome',
 ]
@@ -56,13 +56,13 @@
         return
     settle = {
         Ran.NO: claims.release,
-        Ran.YES: claims.record_run,
-        Ran.UNKNOWN: claims.leave_unknown,
+        Ran.YES: claims.record_without_answer,
+        Ran.UNKNOWN: claims.record_unknown,
     }
     settle[outcome.failure().ran](claim)
 
 
-def refuse_late(request: Request) -> Refusal:
+def refuse_past_deadline(request: Request) -> Refusal:
     """Refuse a request that was interrupted at its deadline."""
     dispatched = request.phase is not Phase.ADMITTED
     return Refusal(
@@ -73,7 +73,7 @@
     )
 
 
-def refuse_gone() -> Refusal:
+def refuse_disconnected() -> Refusal:
     """Refuse a request whose caller has closed its connection."""
     return Refusal(
         RefusalCode.DEADLINE_EXCEEDED,
--- a/src/kelproad/coordination/plain.py
+++ b/src/kelproad/coordination/plain.py
@@ -14,7 +14,7 @@
 from ..transport.addresses import Address
 from ..transport.deadlines import monotonic
 from . import routing
-from .ejection import note_outcome
+from .ejection import record_outcome
 from .retries import Retries
 
 __all__ = ['PlainCalls']
@@ -71,7 +71,7 @@
             if isinstance(outcome, Success):
                 return outcome
             refusal = outcome.failure()
-            request.note_ran(refusal.ran)
+            request.record_ran(refusal.ran)
             decision.note('attempt failed', refusal=attrs.asdict(refusal))
             if not _may_repeat(request, call, refusal):
                 return outcome
@@ -102,7 +102,7 @@
             refusal = answered.swap().value_or(None)
             now = monotonic()
             counters = self._counters
-            note_outcome(self._table, endpoint, refusal, now, counters)
+            record_outcome(self._table, endpoint, refusal, now, counters)
         finally:
             endpoint.own_requests -= 1
             self._counters.attempts.inc(
--- a/src/kelproad/coordination/policies.py
+++ b/src/kelproad/coordination/policies.py
@@ -70,7 +70,7 @@
     usable = list_usable(search, None)
     if not usable:
         return None
-    turn = search.table.take_turn(search.request.service.name)
+    turn = search.table.next_turn(search.request.service.name)
     best = Candidate(usable[turn % len(usable)], predicted=0, score=0)
     return Choice(best, [best], search.now)
 
--- a/src/kelproad/coordination/prediction.py
+++ b/src/kelproad/coordination/prediction.py
@@ -12,9 +12,9 @@
 from ..state.endpoints import Endpoint
 from ..state.lengths import LengthClass, classify_length
 from ..state.requests import Request
-from .candidates import SILENT_AFTER, Search
+from .candidates import REPORT_TIMEOUT, Search
 
-__all__ = ['Candidate', 'learn_rate', 'weigh_endpoint']
+__all__ = ['Candidate', 'learn_rate', 'score_endpoint']
 
 #: Cost, in seconds, of sending a request to another availability zone.
 ZONE_CROSSING_SECONDS = 0.01
@@ -61,7 +61,7 @@
     cached: int = 0
 
 
-def weigh_endpoint(search: Search, endpoint: Endpoint) -> Candidate:
+def score_endpoint(search: Search, endpoint: Endpoint) -> Candidate:
     """Predict one endpoint's time to first token and score it."""
     request = search.request
     crossing = endpoint.declaration.zone != search.zone
@@ -103,12 +103,14 @@
     ranks = len(LengthClass)
     if endpoint.group.honours_priorities:
         ranks = classify_length(prompt_tokens) + 1
-    advertised = sum(endpoint.own_by_class[:ranks])
+    advertised = sum(endpoint.local_by_class[:ranks])
     advertised += sum(endpoint.peer_by_class[:ranks])
-    if endpoint.report is None or now - endpoint.reported_at > SILENT_AFTER:
+    if endpoint.report is None or now - endpoint.reported_at > REPORT_TIMEOUT:
         return advertised
     reported = endpoint.report.waiting_tokens + endpoint.unreported_tokens
-    return min(advertised, reported) + max(0, reported - endpoint.known_tokens)
+    return min(advertised, reported) + max(
+        0, reported - endpoint.in_flight_tokens
+    )
 
 
 def learn_rate(
@@ -152,7 +154,7 @@
 
 def _has_longer(endpoint: Endpoint, request: Request) -> bool:
     rank = classify_length(request.prompt_tokens) + 1
-    here = any(endpoint.own_by_class[rank:])
+    here = any(endpoint.local_by_class[rank:])
     return here or any(endpoint.peer_by_class[rank:])
 
 
@@ -193,7 +195,7 @@
     """
     if classify_length(request.prompt_tokens) is LengthClass.SHORT:
         return 0
-    longer = endpoint.own_by_class[1:] + endpoint.peer_by_class[1:]
+    longer = endpoint.local_by_class[1:] + endpoint.peer_by_class[1:]
     if any(longer):
         return 0
     deployment = request.snapshot.deployment
--- a/src/kelproad/coordination/reception.py
+++ b/src/kelproad/coordination/reception.py
@@ -16,7 +16,7 @@
 from ..state.declarations import Service, Workspace
 from ..state.prefixes import digest_prefix
 from ..state.refusals import Refusal, RefusalCode, Step
-from ..state.requests import Parts, Request
+from ..state.requests import Request, SplitPrompt
 from ..transport.deadlines import within
 from . import admission
 from .confirmation import Confirmation
@@ -27,9 +27,9 @@
     'Call',
     'admit_completion',
     'admit_plain',
-    'move_to',
+    'reauthenticate',
     'receive',
-    'refuse_leaving',
+    'refuse_stopping',
 ]
 
 #: Seconds that a caller has to send its body, unless its own deadline is
@@ -106,7 +106,7 @@
         RECEIVE_TIMEOUT,
     )
     call.deadline = call.arrived + seconds.value_or(RECEIVE_TIMEOUT)
-    found = await confirmation.ask(
+    found = await confirmation.resolve(
         lambda confirmed: _authenticate(confirmed, call),
         snapshot,
         call.arrived,
@@ -133,7 +133,9 @@
     )
 
 
-def move_to(snapshot: Snapshot, arrival: Arrival) -> Result[Arrival, Refusal]:
+def reauthenticate(
+    snapshot: Snapshot, arrival: Arrival
+) -> Result[Arrival, Refusal]:
     """Authenticate an arrival again, under a newer snapshot."""
     if snapshot is arrival.snapshot:
         return Success(arrival)
@@ -181,7 +183,7 @@
     return found.bind(lambda service: _create_request(arrival, service, 0))
 
 
-def refuse_leaving() -> Refusal:
+def refuse_stopping() -> Refusal:
     """Refuse a call that the end of a planned stop would interrupt."""
     return Refusal(
         RefusalCode.NOT_READY,
@@ -204,7 +206,7 @@
     arrival: Arrival,
     service: Service,
     tokens: int,
-    parts: Parts | None = None,
+    parts: SplitPrompt | None = None,
     prefix: tuple[bytes, ...] = (),
 ) -> Result[Request, Refusal]:
     if len(arrival.body) > service.max_body_bytes:
--- a/src/kelproad/coordination/relays.py
+++ b/src/kelproad/coordination/relays.py
@@ -23,7 +23,7 @@
 from ..transport.deadlines import monotonic
 from .answers import Answer
 
-__all__ = ['Patience', 'Relay']
+__all__ = ['EventTimeouts', 'Relay']
 
 #: Consecutive connections without progress after which the engine is given up.
 _MAX_WITHOUT_PROGRESS = 2
@@ -83,7 +83,7 @@
 
 
 @attrs.frozen
-class Patience:
+class EventTimeouts:
     """Timeouts for the first event and between events, in seconds.
 
     They apply only while another engine could answer; otherwise the relay
@@ -111,7 +111,7 @@
         url: str,
         attempt: Attempt,
         answer: Answer,
-        timeouts: Patience,
+        timeouts: EventTimeouts,
         on_first_token: Callable[[], None],
     ) -> None:
         """Relay an attempt that has not been dispatched yet."""
@@ -183,7 +183,7 @@
     async def _resume(self) -> Result[EngineStream, Refusal]:
         """Resume the stream, with retries during a short outage."""
         self.sequence.restart()
-        movable = self._answer.movable
+        movable = self._answer.can_fail_over
         seconds = _RESUME_SECONDS if movable else _LAST_RESUME_SECONDS
         limit = min(monotonic() + seconds, self._attempt.deadline)
         while True:
@@ -254,7 +254,7 @@
         if any(event.failed for event in events):
             raise _EngineError
         self._on_first_token()
-        await self._answer.pass_on(events)
+        await self._answer.forward(events)
         self.finished = events[-1].terminal
 
     def _compute_timeout(self) -> float | None:
@@ -263,7 +263,7 @@
         If a stream could be resumed after a stall, the stall was a false alarm
         or a dead connection, so the next timeout is twice as long.
         """
-        if not self._answer.movable:
+        if not self._answer.can_fail_over:
             return None
         begun = self.sequence.next_number > 0
         wait = self._timeouts.gap if begun else self._timeouts.first
--- a/src/kelproad/coordination/rollout.py
+++ b/src/kelproad/coordination/rollout.py
@@ -20,7 +20,7 @@
     find_model,
 )
 
-__all__ = ['Failed', 'Plan', 'Situation', 'plan_orders']
+__all__ = ['FailedVersion', 'Plan', 'RolloutState', 'plan_orders']
 
 #: Seconds for which an engine is withheld before its streams are counted, so
 #: that every instance knows of it and none sends it another request.
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Failed:
+class FailedVersion:
     """A model version whose rollout was stopped because loads failed."""
 
     model: str
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Situation:
+class RolloutState:
     """The state of one zone from which the next orders are planned.
 
     Attributes
@@ -54,7 +54,7 @@
     desired: Mapping[str, DesiredState]
     observed: Mapping[str, EngineState]
     withheld: Mapping[str, float]
-    stopped: frozenset[Failed]
+    stopped: frozenset[FailedVersion]
     not_before: Mapping[str, float]
     token: int
     now: float
@@ -77,7 +77,7 @@
     is_disruptive: bool
 
 
-def plan_orders(situation: Situation) -> Plan:
+def plan_orders(situation: RolloutState) -> Plan:
     """Plan the next orders of a zone, in the order of endpoint names."""
     plan = Plan()
     busy = _collect_busy(situation)
@@ -97,7 +97,7 @@
 
 
 def _plan_in_turn(
-    situation: Situation,
+    situation: RolloutState,
     plan: Plan,
     endpoint: str,
     differences: list[_Difference],
@@ -111,7 +111,7 @@
 
 
 def _plan_endpoint(
-    situation: Situation,
+    situation: RolloutState,
     plan: Plan,
     endpoint: str,
     differences: list[_Difference],
@@ -139,13 +139,13 @@
     return True
 
 
-def _keep_withheld(situation: Situation, plan: Plan, endpoint: str) -> None:
+def _keep_withheld(situation: RolloutState, plan: Plan, endpoint: str) -> None:
     since = situation.withheld.get(endpoint)
     if since is not None:
         plan.withheld[endpoint] = since
 
 
-def _collect_busy(situation: Situation) -> dict[str, set[str]]:
+def _collect_busy(situation: RolloutState) -> dict[str, set[str]]:
     """Collect by group the engines that are loading or withheld."""
     busy: dict[str, set[str]] = {}
     for endpoint, desired in situation.desired.items():
@@ -159,7 +159,7 @@
 
 
 def _find_differences(
-    situation: Situation,
+    situation: RolloutState,
     endpoint: str,
     state: EngineState,
 ) -> list[_Difference]:
@@ -219,7 +219,7 @@
 
 
 def _choose_version(
-    situation: Situation,
+    situation: RolloutState,
     desired: DesiredState,
     wanted: DesiredModel,
 ) -> DesiredModel:
@@ -228,7 +228,7 @@
     Engines that were not changed still run the earlier version; those on which
     the new one failed go back to the version that most engines have ready.
     """
-    failed = Failed(wanted.model, wanted.version, wanted.generation)
+    failed = FailedVersion(wanted.model, wanted.version, wanted.generation)
     if failed not in situation.stopped:
         return wanted
     versions = [
@@ -246,7 +246,7 @@
 
 
 def _find_only_ready(
-    situation: Situation,
+    situation: RolloutState,
     plan: Plan,
     endpoint: str,
 ) -> str:
@@ -264,7 +264,7 @@
     return ''
 
 
-def _note_loading(situation: Situation, plan: Plan, endpoint: str) -> None:
+def _note_loading(situation: RolloutState, plan: Plan, endpoint: str) -> None:
     loading = [
         f'{item.model} {item.version}'
         for item in situation.observed[endpoint].models
--- a/src/kelproad/coordination/routing.py
+++ b/src/kelproad/coordination/routing.py
@@ -15,10 +15,14 @@
 from ..state.lengths import LengthClass, classify_length
 from ..state.refusals import Refusal, RefusalCode, Step
 from ..state.requests import Request
-from .candidates import Search, draw
-from .feasibility import learn_stretch, measure_lateness, refuse_hopeless
+from .candidates import Search, sample_usable
+from .feasibility import (
+    learn_first_token_ratio,
+    measure_lateness,
+    refuse_infeasible,
+)
 from .policies import BASELINES, Choice
-from .prediction import Candidate, learn_rate, weigh_endpoint
+from .prediction import Candidate, learn_rate, score_endpoint
 
 __all__ = [
     'Choice',
@@ -26,8 +30,8 @@
     'choose_endpoint',
     'choose_priority',
     'classify_length',
-    'has_usable',
-    'note_first_token',
+    'has_usable_endpoint',
+    'record_first_token',
 ]
 
 #: Predicted wait, in seconds, up to which a local endpoint is chosen without
@@ -97,14 +101,14 @@
         return Failure(_refuse_no_endpoint(request))
     best = choice.best
     own_time = best.predicted - best.waiting
-    table.note_contention(request.prompt_tokens, best.waiting, own_time, now)
+    table.record_contention(request.prompt_tokens, best.waiting, own_time, now)
     late = measure_lateness(table, best, request, now)
     if late > 0:
-        return Failure(refuse_hopeless(request, best, late))
+        return Failure(refuse_infeasible(request, best, late))
     return Success(choice)
 
 
-def has_usable(
+def has_usable_endpoint(
     request: Request,
     table: EndpointTable,
     zone: str,
@@ -117,10 +121,10 @@
     The parameters are those of ``choose_endpoint``.
     """
     search = Search(request, table, zone, now, generator, tried)
-    return bool(draw(search, None, 1))
+    return bool(sample_usable(search, None, 1))
 
 
-def note_first_token(
+def record_first_token(
     table: EndpointTable,
     choice: Choice,
     request: Request,
@@ -130,7 +134,7 @@
     endpoint = choice.endpoint
     endpoint.end_prefill(request.prompt_tokens)
     learn_rate(choice.best, request.prompt_tokens, now - choice.chosen_at)
-    learn_stretch(table, choice, request.prompt_tokens, now)
+    learn_first_token_ratio(table, choice, request.prompt_tokens, now)
     if endpoint.report is not None:
         table.prefixes.remember(
             request.prefix,
@@ -169,14 +173,14 @@
 
 def _score_sample(search: Search, zone: str | None) -> list[Candidate]:
     size = _SAMPLE_SIZES[classify_length(search.request.prompt_tokens)]
-    sampled = draw(search, zone, size)
+    sampled = sample_usable(search, zone, size)
     names = {endpoint.name for endpoint in sampled}
     sampled += [
         endpoint
         for endpoint in _list_with_prefix(search)
         if endpoint.name not in names
     ]
-    return [weigh_endpoint(search, endpoint) for endpoint in sampled]
+    return [score_endpoint(search, endpoint) for endpoint in sampled]
 
 
 def _list_with_prefix(search: Search) -> list[Endpoint]:
@@ -193,7 +197,7 @@
         if endpoint is not None
         and endpoint.group.name in search.request.service.endpoint_groups
         and search.is_usable(endpoint)
-        and not search.is_doubtful(endpoint)
+        and not search.is_suspect(endpoint)
     ]
 
 
