--- a/src/kelproad/coordination/segments.py
+++ b/src/kelproad/coordination/segments.py
@@ -16,10 +16,10 @@
 from ..state.buffers import BufferBudget
 from ..state.declarations import Segmenting, Service
 from ..state.refusals import Ran, Refusal, RefusalCode, Step
-from ..state.requests import Decision, Parts, Request
+from ..state.requests import Decision, Request, SplitPrompt
 from .answers import Sink
 from .attempts import Attempts
-from .delivery import WholeDelivery
+from .delivery import BufferedDelivery
 
 __all__ = ['answer_in_parts', 'split_body', 'split_prompt']
 
@@ -38,7 +38,7 @@
     prompt: str,
     segmenting: Segmenting,
     bytes_per_token: float,
-) -> Result[Parts, Refusal]:
+) -> Result[SplitPrompt, Refusal]:
     """Cut a prompt at record boundaries into parts of a bounded size.
 
     Parameters
@@ -73,13 +73,13 @@
     if len(packed) > segmenting.most_parts:
         return Failure(_refuse_part_count(len(packed), segmenting))
     joined = [segmenting.boundary.join(part) for part in packed]
-    return Success(Parts(heading, joined))
+    return Success(SplitPrompt(heading, joined))
 
 
 def split_body(
     body: CompletionBody,
     service: Service,
-) -> Result[Parts, Refusal]:
+) -> Result[SplitPrompt, Refusal]:
     """Cut the prompt of a completion call into parts."""
     try:
         prompt = msgspec.json.decode(body.prompt, type=str)
@@ -102,7 +102,7 @@
 
     Raises
     ------
-    CallerGoneError
+    CallerDisconnectedError
         As the sink does.
     """
     parts, segmenting = request.parts, request.service.segments
@@ -169,7 +169,7 @@
 ) -> str:
     """Answer one part, and record in the request whether it may have run."""
     part = _create_part(request, number)
-    sink = WholeDelivery(
+    sink = BufferedDelivery(
         stream=False,
         request_id=part.request_id,
         budget=buffers,
@@ -190,7 +190,7 @@
                 ran = refusal.ran
                 raise _PartRefusedError(_wrap_refusal(refusal))
         finally:
-            request.note_ran(ran)
+            request.record_ran(ran)
     response = await sink.finish()
     return msgspec.json.decode(response.body, type=_Answer).choices[0].text
 
--- a/src/kelproad/coordination/sending.py
+++ b/src/kelproad/coordination/sending.py
@@ -9,7 +9,7 @@
 from ..transport.servers import send_answer, wait_for_last_byte
 from .reception import Call
 
-__all__ = ['SEND_MARGIN', 'send_bounded', 'send_whole']
+__all__ = ['SEND_MARGIN', 'send_bounded', 'send_response']
 
 #: Seconds by which sending a final answer may exceed the deadline.
 SEND_MARGIN = 0.4
@@ -17,7 +17,7 @@
 _CALLER_DISCONNECTED = 499
 
 
-async def send_whole(call: Call, response: web.StreamResponse) -> None:
+async def send_response(call: Call, response: web.StreamResponse) -> None:
     """Send an answer of known length.
 
     aiohttp would send it after the handler returns, and wait for as long as a
--- a/src/kelproad/coordination/settlements.py
+++ b/src/kelproad/coordination/settlements.py
@@ -18,7 +18,7 @@
 from ..state.claims import ClaimState, RecordedAnswer
 from ..state.counters import Counters
 from ..transport.deadlines import monotonic
-from .claimrows import Trial, build_write, is_open_row, read_row
+from .claimrows import PendingClaim, build_write, is_open_row, read_row
 from .grouping import WRITE_TIMEOUT, GroupedWrites
 from .verdicts import Claim
 
@@ -62,7 +62,7 @@
         claim.settled = True
         return self._start(self._overwrite(write, state))
 
-    def take_back(self, pending: Trial) -> None:
+    def release_abandoned(self, pending: PendingClaim) -> None:
         """Start to release the key of a claim that was given up."""
         self._start(self._release_abandoned(pending))
 
@@ -121,7 +121,7 @@
         )
         self._counters.claims.inc({'outcome': f'settled_{state}'})
 
-    async def _release_abandoned(self, pending: Trial) -> None:
+    async def _release_abandoned(self, pending: PendingClaim) -> None:
         """Release a key after its claim was given up.
 
         The caller was told that nothing ran, and this process will not
@@ -130,7 +130,7 @@
         expected makes a late arrival conflict.
         """
         free = attrs.evolve(
-            pending.mine,
+            pending.record,
             state=ClaimState.FREE,
             settled_at=time.time(),
         )
@@ -151,7 +151,7 @@
             if row is None:
                 return False
             pending.expect = row.version
-            return not is_open_row(row, pending.mine)
+            return not is_open_row(row, pending.record)
 
         await _repeat(try_once)
         self._counters.claims.inc({'outcome': 'taken_back'})
--- a/src/kelproad/coordination/sides.py
+++ b/src/kelproad/coordination/sides.py
@@ -23,9 +23,9 @@
 from .drain import Drain, DrainPhase
 from .entry import ANSWER_BEGUN, Entry
 from .operators import OperatorApi
-from .reception import refuse_leaving
+from .reception import refuse_stopping
 
-__all__ = ['CallerSide', 'create_servers']
+__all__ = ['CallerApi', 'create_servers']
 
 _logger = logging.getLogger(__name__)
 #: Bytes of the largest file that an operator may apply.
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class CallerSide:
+class CallerApi:
     """Routes for callers and for the platform's balancer."""
 
     _entry: Entry
@@ -72,7 +72,7 @@
     ) -> web.StreamResponse:
         is_work = http_request.path not in _ALWAYS_SERVED
         if self._drain.phase is DrainPhase.REFUSING and is_work:
-            return callers.answer_refusal(refuse_leaving(), '')
+            return callers.answer_refusal(refuse_stopping(), '')
         return await handler(http_request)
 
     @web.middleware
@@ -106,7 +106,7 @@
 
     async def _answer_ready(self, _http_request: web.Request) -> web.Response:
         if self._drain.phase is not DrainPhase.SERVING:
-            return callers.answer_refusal(refuse_leaving(), '')
+            return callers.answer_refusal(refuse_stopping(), '')
         if self._holder.current.revision == 0:
             return callers.answer_refusal(_refuse_unready(self._follower), '')
         return web.Response(text='ready\n')
@@ -121,7 +121,7 @@
 
 def create_servers(
     settings: Settings,
-    caller_side: CallerSide,
+    caller_side: CallerApi,
     operators: OperatorApi,
     counters: Counters,
 ) -> list[HttpServer]:
--- a/src/kelproad/coordination/verdicts.py
+++ b/src/kelproad/coordination/verdicts.py
@@ -13,12 +13,12 @@
 from ..state.claims import ClaimRecord, ClaimState, RecordedAnswer
 from ..state.refusals import Ran, Refusal, RefusalCode, Step
 
-__all__ = ['Acquired', 'Claim', 'judge', 'refuse_unrecorded']
+__all__ = ['Acquired', 'Claim', 'evaluate_row', 'refuse_unrecorded']
 
 #: Bytes of the largest answer body that is kept in the row.
 MAX_RECORDED_BYTES = 65_536
 #: Seconds for which a recorded answer is repeated; the row itself stays.
-ANSWER_KEPT = 86_400.0
+ANSWER_RETENTION = 86_400.0
 #: Seconds past the owner's deadline in which it may still be settling.
 _SETTLE_MARGIN = 1.0
 #: Bounds of the seconds after which callers are asked to retry; the last one
@@ -49,7 +49,7 @@
 Acquired = Result[Claim | RecordedAnswer, Refusal]
 
 
-def judge(row: Row, current: ClaimRecord, mine: ClaimRecord) -> Acquired:
+def evaluate_row(row: Row, current: ClaimRecord, mine: ClaimRecord) -> Acquired:
     """Decide what the current row of a key means for a request."""
     if current.token == mine.token:
         return Success(Claim(row.key, mine, row.version))
@@ -71,8 +71,8 @@
     age = time.time() - current.settled_at
     if current.answer.body is None:
         message = f'its answer exceeds the {MAX_RECORDED_BYTES} bytes kept'
-    elif age > ANSWER_KEPT:
-        message = f'its answer was kept for {ANSWER_KEPT:.0f} s only'
+    elif age > ANSWER_RETENTION:
+        message = f'its answer was kept for {ANSWER_RETENTION:.0f} s only'
     else:
         return Success(current.answer)
     return Failure(
--- a/src/kelproad/coordination/watch.py
+++ b/src/kelproad/coordination/watch.py
@@ -22,7 +22,7 @@
 from ..transport.deadlines import monotonic
 from ..transport.services import BackgroundService
 
-__all__ = ['Watch', 'list_wanted', 'list_watched']
+__all__ = ['Watch', 'list_due', 'list_watched']
 
 #: Instances that watch the same engine.
 WATCHERS = 2
@@ -59,7 +59,7 @@
     @Service.task
     async def _read_periodically(self) -> None:
         while not self.should_stop:
-            due = list_wanted(
+            due = list_due(
                 self._identity,
                 self._table,
                 self._members,
@@ -90,7 +90,7 @@
     return [endpoint for endpoint, _rank in ranked]
 
 
-def list_wanted(
+def list_due(
     identity: Identity,
     table: EndpointTable,
     members: MemberTable,
--- a/src/kelproad/platform/headers.py
+++ b/src/kelproad/platform/headers.py
@@ -9,10 +9,10 @@
 
 from ..protocol.plain import leave_out
 from ..state.calls import AnswerHead, Call, CallHead, Forwarding, Outcome
-from ..state.refusals import PROMISING, Ran, Refusal, RefusalCode, Step
+from ..state.refusals import NOT_RUN_STATUSES, Ran, Refusal, RefusalCode, Step
 
 __all__ = [
-    'answer_own',
+    'build_refusal',
     'encode_call',
     'read_answer_head',
     'read_call_head',
@@ -126,7 +126,7 @@
     )
 
 
-def answer_own(refusal: Refusal, request_id: str) -> web.Response:
+def build_refusal(refusal: Refusal, request_id: str) -> web.Response:
     """Build the answer of this instance itself, without an engine's stamp."""
     headers = {}
     if request_id:
@@ -134,7 +134,7 @@
     if refusal.retry_after is not None:
         headers[_RETRY_AFTER] = f'{refusal.retry_after:.2f}'
     status = refusal.code.status
-    if refusal.ran is not Ran.NO and status in PROMISING:
+    if refusal.ran is not Ran.NO and status in NOT_RUN_STATUSES:
         status = RefusalCode.ENDPOINT_FAILED.status
     return web.Response(
         status=status,
@@ -152,8 +152,8 @@
     # An extra answer may lie on a connection where the next one is due; only
     # the id that engines repeat tells them apart.
     if response.headers.get(_REQUEST_ID) != request_id:
-        return Outcome.CROSSED
-    if response.status >= _FIRST_ERROR or response.status in PROMISING:
+        return Outcome.MISMATCHED
+    if response.status >= _FIRST_ERROR or response.status in NOT_RUN_STATUSES:
         return Outcome.ERROR
     return Outcome.ANSWERED
 
--- a/src/kelproad/platform/node.py
+++ b/src/kelproad/platform/node.py
@@ -7,7 +7,7 @@
 
 from ..coordination.ingress.dialect import Dialect
 from ..coordination.ingress.following import TableSource
-from ..coordination.ingress.memory import EngineOrders
+from ..coordination.ingress.memory import EngineOperations
 from ..coordination.ingress.node import Node
 from ..coordination.ingress.reloading import SettingsHolder
 from ..coordination.ingress.rostering import RosterStore
@@ -31,7 +31,7 @@
         read_call_head=headers.read_call_head,
         encode_call=headers.encode_call,
         read_answer_head=headers.read_answer_head,
-        answer_own=headers.answer_own,
+        build_refusal=headers.build_refusal,
         open_orders=_open_orders,
         ready_path=_READY_PATH,
     )
@@ -42,9 +42,11 @@
     return Node(settings, dialect, open_store)
 
 
-def _open_orders(session: aiohttp.ClientSession) -> EngineOrders:
+def _open_orders(session: aiohttp.ClientSession) -> EngineOperations:
     client = OrderClient(session)
-    return EngineOrders(client.reserve, client.release, client.read_slowdown)
+    return EngineOperations(
+        client.reserve, client.release, client.read_slowdown
+    )
 
 
 def _open_store(
--- a/src/kelproad/platform/rows.py
+++ b/src/kelproad/platform/rows.py
@@ -218,9 +218,9 @@
         timeout=route.timeout_ms / _MILLISECONDS,
         objective=route.target_latency_ms / _MILLISECONDS,
         gap_objective=route.target_gap_ms / _MILLISECONDS,
-        patience=_choose_patience(route),
+        silence_timeout=_choose_patience(route),
         priority=route.priority,
-        most_endpoints=max(1, route.max_attempts),
+        max_endpoints=max(1, route.max_attempts),
         anonymous=route.anonymous,
     )
 
@@ -256,7 +256,7 @@
             memory_tokens=engine.kv_capacity,
             stride=engine.stride,
             step_seconds=engine.step_ms / _MILLISECONDS,
-            writer_seconds=engine.per_seq_ms / _MILLISECONDS,
+            stream_seconds=engine.per_seq_ms / _MILLISECONDS,
             context_seconds=engine.context_per_k / _MILLISECONDS,
             tokens_per_second=engine.read_per_s,
             pair_seconds=engine.pairs_per_m / _MILLISECONDS,
--- a/src/kelproad/state/buffers.py
+++ b/src/kelproad/state/buffers.py
@@ -41,7 +41,7 @@
         whole = self.size + size + EVENT_OVERHEAD
         return whole <= self._budget.answer_limit
 
-    def take(self, size: int) -> bool:
+    def acquire(self, size: int) -> bool:
         """Reserve bytes for one more event; false when a bound is reached."""
         whole = size + EVENT_OVERHEAD
         fits_all = self._budget.used + whole <= self._budget.limit
--- a/src/kelproad/state/calls.py
+++ b/src/kelproad/state/calls.py
@@ -20,9 +20,9 @@
     """The end of a call that was not refused."""
 
     ANSWERED = 'answered'
-    BROKEN_OFF = 'broken off'
-    CUT_BY_STOP = 'cut by the stop'
-    CALLER_LEFT = 'caller left'
+    TRUNCATED = 'broken off'
+    ABORTED_BY_STOP = 'cut by the stop'
+    CALLER_DISCONNECTED = 'caller left'
 
 
 @attrs.frozen
@@ -143,7 +143,7 @@
     #: The endpoint answered with an error of its own; the call has run.
     ERROR = 'error'
     #: The answer belongs to another call.
-    CROSSED = 'crossed'
+    MISMATCHED = 'crossed'
 
 
 @attrs.frozen
--- a/src/kelproad/state/endpoints.py
+++ b/src/kelproad/state/endpoints.py
@@ -37,7 +37,7 @@
         The same by length class, which is the priority at the engine.
     reported_at
         Monotonic time to which ``report`` refers.
-    read_here
+    read_locally
         Whether this instance read ``report`` from the engine itself.
     rate
         Prefill tokens per second, learned from local requests.
@@ -54,7 +54,7 @@
         Number of ejections in a row.
     failures
         Share of the latest attempts there that failed.
-    disowned_until
+    misdirected_until
         Monotonic time until which it gets no calls, because another endpoint
         answered at its address.
     """
@@ -66,12 +66,12 @@
     peer_tokens: int = 0
     report: EndpointReport | None = None
     reported_at: float = float('-inf')
-    read_here: bool = False
+    read_locally: bool = False
     consecutive_failures: int = 0
     ejected_until: float = float('-inf')
     listed_leaving: bool = False
     withheld: bool = False
-    own_by_class: list[int] = attrs.field(factory=_zero_by_class)
+    local_by_class: list[int] = attrs.field(factory=_zero_by_class)
     peer_by_class: list[int] = attrs.field(factory=_zero_by_class)
     rate: LearnedRate = attrs.field(factory=LearnedRate)
     group_rate: LearnedRate = attrs.field(factory=LearnedRate)
@@ -80,7 +80,7 @@
     restored_at: float = float('-inf')
     ejections: int = 0
     failures: FailureShare = attrs.field(factory=FailureShare)
-    disowned_until: float = float('-inf')
+    misdirected_until: float = float('-inf')
     _unreported: collections.deque[tuple[float, int]] = attrs.field(
         factory=collections.deque,
     )
@@ -113,7 +113,7 @@
         self.group_rate.observe(rate)
 
     @property
-    def known_tokens(self) -> int:
+    def in_flight_tokens(self) -> int:
         """Prompt tokens in flight there from this instance and peers."""
         return self.own_tokens + self.peer_tokens
 
@@ -133,11 +133,11 @@
             return False
         self.report = report
         self.reported_at = read_at
-        self.read_here = here
+        self.read_locally = here
         # An engine that was slow gets no work, so no observation would show
         # that it has recovered; each report moves the learned rate towards
         # that of the group.
-        self.rate.fade(self.group_rate)
+        self.rate.decay_towards(self.group_rate)
         while self._unreported and self._is_reported(self._unreported[0][0]):
             self._unreported.popleft()
         return True
@@ -145,18 +145,18 @@
     def begin_prefill(self, tokens: int, now: float) -> None:
         """Record a prompt as sent there."""
         self.own_tokens += tokens
-        self.own_by_class[classify_length(tokens)] += tokens
+        self.local_by_class[classify_length(tokens)] += tokens
         self._unreported.append((now, tokens))
 
     def end_prefill(self, tokens: int) -> None:
         """Remove a prompt that is prefilled or abandoned."""
         self.own_tokens -= tokens
-        self.own_by_class[classify_length(tokens)] -= tokens
+        self.local_by_class[classify_length(tokens)] -= tokens
         self.computed_tokens += tokens
         if not self.own_tokens:
             self._unreported.clear()
         invariants.check(
-            min(self.own_by_class) >= 0,
+            min(self.local_by_class) >= 0,
             'prefill_accounts_never_negative',
             self.name,
         )
@@ -193,7 +193,7 @@
         Prompt tokens sent by length class; older ones have less weight.
     instances
         Number of live instances, this one included.
-    stretch
+    first_token_ratios
         Ratio of observed to predicted time to first token, by length class;
         no prediction includes the prompts that arrive later with a higher
         priority.
@@ -205,14 +205,14 @@
         self._by_group: dict[str, list[Endpoint]] = {}
         #: Endpoints that this instance withholds as the holder of the lease
         #: of the orders.
-        self.withheld_here: frozenset[str] = frozenset()
+        self.withheld_locally: frozenset[str] = frozenset()
         self._by_zone: dict[tuple[str, str], list[Endpoint]] = {}
         self._turns: dict[str, int] = {}
         self._group_rates: dict[str, LearnedRate] = {}
         self.prefixes = PrefixHistory()
         self.sent_by_class = [float(0) for _ in LengthClass]
         self.instances = 1
-        self.stretch = [LearnedRate() for _ in LengthClass]
+        self.first_token_ratios = [LearnedRate() for _ in LengthClass]
         self._contention: dict[LengthClass, Contention] = {}
 
     def follow(self, snapshot: Snapshot) -> None:
@@ -245,19 +245,19 @@
         """List the endpoints of a group that run in a zone."""
         return self._by_zone.get((group, zone), [])
 
-    def take_turn(self, service: str) -> int:
+    def next_turn(self, service: str) -> int:
         """Return a service's turn in its rotation, and advance it by one."""
         turn = self._turns.get(service, 0)
         self._turns[service] = turn + 1
         return turn
 
-    def note_sent(self, tokens: int) -> None:
+    def record_sent(self, tokens: int) -> None:
         """Add a prompt to the length mix, halved when it gets large."""
         self.sent_by_class[classify_length(tokens)] += tokens
         if sum(self.sent_by_class) > _MAX_MIX_TOKENS:
             self.sent_by_class = [sent / 2 for sent in self.sent_by_class]
 
-    def note_contention(
+    def record_contention(
         self,
         tokens: int,
         seconds: float,
@@ -314,7 +314,7 @@
             return Endpoint(declaration, group, group_rate=rate)
         if declaration.address != endpoint.declaration.address:
             # Another endpoint answered at the former address, not at this.
-            endpoint.disowned_until = float('-inf')
+            endpoint.misdirected_until = float('-inf')
         endpoint.declaration = declaration
         endpoint.group = group
         return endpoint
--- a/src/kelproad/state/engines.py
+++ b/src/kelproad/state/engines.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from .pauses import PauseLimits
+from .stalls import StallLimits
 
 __all__ = ['EngineProfile']
 
@@ -33,7 +33,7 @@
         Decode steps in a pass with decoding streams.
     step_seconds
         Base time of a decode step.
-    writer_seconds
+    stream_seconds
         Time that each decoding stream adds to a step.
     context_seconds
         Time that each thousand tokens of context add to a step.
@@ -44,7 +44,7 @@
         earlier one.
     hop_seconds
         Time added to a step when other engines hold a part of the prompt.
-    pauses
+    stall_limits
         Stall limits of the service's streams.
     """
 
@@ -52,12 +52,12 @@
     memory_tokens: int = 200_000
     stride: int = 1
     step_seconds: float = 0.03
-    writer_seconds: float = 0
+    stream_seconds: float = 0
     context_seconds: float = 0
     tokens_per_second: float = 15_000.0
     pair_seconds: float = 0
     hop_seconds: float = 0
-    pauses: PauseLimits = attrs.field(factory=PauseLimits)
+    stall_limits: StallLimits = attrs.field(factory=StallLimits)
 
     def predict_prefill(self, tokens: int) -> float:
         """Predict the seconds in which one engine prefills a whole prompt."""
@@ -79,7 +79,7 @@
         """
         step = (
             self.step_seconds
-            + streams * self.writer_seconds
+            + streams * self.stream_seconds
             + context / _CONTEXT_PER_UNIT * self.context_seconds
         )
         return self.stride * step
--- a/src/kelproad/state/limits.py
+++ b/src/kelproad/state/limits.py
@@ -65,13 +65,13 @@
     _decayed_tokens: float = 0
     _decayed_at: float = 0
 
-    def note_asked(self, tokens: int, now: float) -> None:
+    def record_request(self, tokens: int, now: float) -> None:
         """Add a request to the demand, whether it is admitted or not."""
         self._decay(now)
         self._decayed_requests += 1
         self._decayed_tokens += tokens
 
-    def note_finished(self, tokens: int, now: float) -> None:
+    def record_finished(self, tokens: int, now: float) -> None:
         """Record a request that has its final answer."""
         self._decay(now)
         self._finished_tokens += tokens
--- a/src/kelproad/state/members.py
+++ b/src/kelproad/state/members.py
@@ -113,7 +113,7 @@
     demand: dict[str, Demand] = attrs.field(factory=dict)
 
     @property
-    def life(self) -> tuple[int, int]:
+    def incarnation_key(self) -> tuple[int, int]:
         """Sort key of the incarnation among all under the same name."""
         return (self.epoch, self.incarnation)
 
@@ -206,11 +206,11 @@
         return True
 
     @property
-    def far_interval(self) -> int:
+    def cross_zone_interval(self) -> int:
         """Heartbeats of which only one is forwarded from zone to zone."""
         return max(1, math.ceil(self._remote_count / _REMOTE_PER_PERIOD))
 
-    def note_listing(
+    def record_listing(
         self,
         names: frozenset[str],
         leaving: frozenset[str],
@@ -245,7 +245,7 @@
         """Find the newest record of a member, ``None`` without one."""
         return self._members.get(name)
 
-    def heard_at(self, name: str) -> float:
+    def received_at(self, name: str) -> float:
         """Return the time of receipt of a member's newest record."""
         return self._received_at[name]
 
@@ -259,7 +259,7 @@
             configuration_age=round(member.configuration_age + waited, 1),
         )
 
-    def load_heard_at(self, name: str) -> float:
+    def load_received_at(self, name: str) -> float:
         """Return the time of receipt of a member's newest load."""
         return self._load_received_at[name]
 
@@ -276,7 +276,7 @@
             self._heartbeat_at.pop(name)
             self._load_received_at.pop(name)
 
-    def excuse(self, seconds: float) -> None:
+    def discount_local_pause(self, seconds: float) -> None:
         """Subtract a pause of this process from the members' silence.
 
         A process that was suspended receives nothing meanwhile.  When resumed
@@ -299,7 +299,7 @@
         # 1.5 times as long in a zone of 16 members, twice in one of 32.
         doublings = math.log2(max(1, local_count / _SMALL_ZONE))
         local_factor = 1 + doublings / 2
-        remote_factor = max(local_factor, self.far_interval)
+        remote_factor = max(local_factor, self.cross_zone_interval)
         listed = []
         for name, member in self._members.items():
             factor = remote_factor if self._is_remote(member) else local_factor
@@ -313,7 +313,7 @@
     """Return a record with the newer heartbeat and the newer load."""
     newest = max(held, member, key=lambda record: record.order)
     source = member if newer_load else held
-    if source.life != newest.life:
+    if source.incarnation_key != newest.incarnation_key:
         # A new incarnation has none of the old one's work in flight.
         return newest.without_load()
     return attrs.evolve(
--- a/src/kelproad/state/observations.py
+++ b/src/kelproad/state/observations.py
@@ -47,7 +47,7 @@
     _slow: dict[str, _Slowdown] = attrs.field(factory=dict)
     _peer_slow: dict[str, _Slowdown] = attrs.field(factory=dict)
 
-    def note_refusal(self, endpoint: str, now: float) -> None:
+    def record_refusal(self, endpoint: str, now: float) -> None:
         """Record that an engine refused to prefill a part for another one."""
         self._refused_until[endpoint] = now + _REFUSED_SECONDS
 
@@ -67,11 +67,11 @@
         for endpoint in endpoints:
             self._peer_refused_until[endpoint] = now + _REPORT_SECONDS
 
-    def note_silence(self, endpoint: str, now: float) -> None:
+    def record_silence(self, endpoint: str, now: float) -> None:
         """Record that an engine does not answer this instance."""
         self._silent_until[endpoint] = now + _SILENT_SECONDS
 
-    def note_answer(self, endpoint: str) -> None:
+    def record_answer(self, endpoint: str) -> None:
         """Record that an engine answered this instance."""
         self._silent_until.pop(endpoint, None)
 
@@ -79,7 +79,7 @@
         """Return whether an engine recently did not answer this instance."""
         return self._silent_until.get(endpoint, now) > now
 
-    def note_slowdown(self, endpoint: str, factor: float, now: float) -> None:
+    def record_slowdown(self, endpoint: str, factor: float, now: float) -> None:
         """Record the factor on an engine's published times; 1 clears it."""
         if factor > 1:
             self._slow[endpoint] = _Slowdown(factor, now + _SLOW_SECONDS)
--- a/src/kelproad/state/rates.py
+++ b/src/kelproad/state/rates.py
@@ -40,7 +40,7 @@
             return
         self._approach(rate, max(_WEIGHT, 1 / self.observations))
 
-    def fade(self, typical: Self) -> None:
+    def decay_towards(self, typical: Self) -> None:
         """Move a little towards a typical rate, for lack of observations."""
         if self.value and typical.value:
             self._approach(typical.value, _DECAY_WEIGHT)
--- a/src/kelproad/state/refusals.py
+++ b/src/kelproad/state/refusals.py
@@ -10,10 +10,10 @@
 
 import attrs
 
-__all__ = ['PROMISING', 'Ran', 'Refusal', 'RefusalCode', 'Step']
+__all__ = ['NOT_RUN_STATUSES', 'Ran', 'Refusal', 'RefusalCode', 'Step']
 
 #: Statuses that guarantee that the call has not run and never will.
-PROMISING = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class Ran(enum.StrEnum):
--- a/src/kelproad/state/requests.py
+++ b/src/kelproad/state/requests.py
@@ -13,7 +13,7 @@
 __all__ = [
     'Decision',
     'DecisionLog',
-    'Parts',
+    'SplitPrompt',
     'Phase',
     'Request',
     'RequestTable',
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Parts:
+class SplitPrompt:
     """A prompt in parts, because it exceeds the memory of any engine.
 
     Attributes
@@ -81,7 +81,7 @@
     idempotency_key: str = ''
     prefix: tuple[bytes, ...] = ()
     ran: Ran = Ran.NO
-    parts: Parts | None = None
+    parts: SplitPrompt | None = None
 
     @property
     def repeatable(self) -> bool:
@@ -93,7 +93,7 @@
         self.attempts += 1
         return f'{self.request_id}-{self.attempts}'
 
-    def note_ran(self, ran: Ran) -> None:
+    def record_ran(self, ran: Ran) -> None:
         """Record whether a failed dispatch was executed."""
         if self.ran is not Ran.YES and ran is not Ran.NO:
             self.ran = ran
@@ -104,7 +104,7 @@
         A repeatable request may run at one endpoint, lose its answer and then
         be refused by another endpoint that did not run it.
         """
-        self.note_ran(refusal.ran)
+        self.record_ran(refusal.ran)
         return attrs.evolve(refusal, ran=self.ran)
 
     def remaining(self, now: float) -> float:
--- a/src/kelproad/state/routes.py
+++ b/src/kelproad/state/routes.py
@@ -13,7 +13,7 @@
 import attrs
 
 from .engines import EngineProfile
-from .pauses import PauseLimits
+from .stalls import StallLimits
 
 __all__ = [
     'CallKind',
@@ -77,11 +77,11 @@
         the objective.
     gap_objective
         Seconds between two events up to which a stream meets its objective.
-    patience
+    silence_timeout
         Seconds without an event after which callers abandon a stream.
     priority
         Rank among the routes; 0 is served first.
-    most_endpoints
+    max_endpoints
         Maximum number of endpoints to which one call may be sent.
     anonymous
         Whether calls need no API key.
@@ -95,9 +95,9 @@
     timeout: float
     objective: float
     gap_objective: float = float('inf')
-    patience: float = float('inf')
+    silence_timeout: float = float('inf')
     priority: int = 0
-    most_endpoints: int = 1
+    max_endpoints: int = 1
     anonymous: bool = False
 
 
@@ -215,7 +215,9 @@
     """Add the stall limits that follow from the routes' gap objectives."""
     if service.engine is None:
         return service
-    engine = attrs.evolve(service.engine, pauses=PauseLimits.from_gaps(gaps))
+    engine = attrs.evolve(
+        service.engine, stall_limits=StallLimits.from_gaps(gaps)
+    )
     return attrs.evolve(service, engine=engine)
 
 
--- a/src/kelproad/state/pauses.py
+++ b/src/kelproad/state/stalls.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-__all__ = ['PauseLimits']
+__all__ = ['StallLimits']
 
 #: Share of the gap objective that a pass may take; the rest is for work that is
 #: sent to the engine meanwhile and that this instance does not know of.
@@ -22,21 +22,21 @@
 
 
 @attrs.frozen
-class PauseLimits:
+class StallLimits:
     """Maximum seconds of a pass, by the streams that it stalls.
 
     Attributes
     ----------
-    tight
+    gap_sensitive
         Maximum while any gap-sensitive stream is decoding.
-    loose
+    gap_tolerant
         Maximum while all decoding streams are gap-tolerant.
     tolerant_gap
         Smallest gap objective in seconds of a gap-tolerant route.
     """
 
-    tight: float = math.inf
-    loose: float = math.inf
+    gap_sensitive: float = math.inf
+    gap_tolerant: float = math.inf
     tolerant_gap: float = math.inf
 
     @classmethod
@@ -49,11 +49,11 @@
             default=shortest,
         )
         return cls(
-            tight=shortest * _PASS_SHARE,
-            loose=tolerant * _PASS_SHARE,
+            gap_sensitive=shortest * _PASS_SHARE,
+            gap_tolerant=tolerant * _PASS_SHARE,
             tolerant_gap=tolerant if tolerant > shortest else math.inf,
         )
 
-    def is_patient(self, gap_objective: float) -> bool:
+    def is_gap_tolerant(self, gap_objective: float) -> bool:
         """Return whether streams with this gap objective are gap-tolerant."""
         return gap_objective >= self.tolerant_gap
--- a/src/kelproad/state/work.py
+++ b/src/kelproad/state/work.py
@@ -49,7 +49,7 @@
         return not (self.calls or self.helping or self.context_tokens)
 
     @property
-    def tight_calls(self) -> int:
+    def gap_sensitive_calls(self) -> int:
         """Number of calls with gap-sensitive streams."""
         return self.calls - self.patient_calls
 
@@ -67,7 +67,7 @@
     """The last report of a peer, and the monotonic time of receipt."""
 
     by_endpoint: dict[str, EndpointWork]
-    heard_at: float
+    received_at: float
 
 
 def _ignore() -> None:
@@ -83,7 +83,7 @@
 
     def __init__(self) -> None:
         """Start with nothing in flight."""
-        self.own: dict[str, EndpointWork] = {}
+        self.local: dict[str, EndpointWork] = {}
         self._peers: dict[str, PeerWork] = {}
         #: Work of all peers, summed by endpoint, and their number.
         self._peer_sums: dict[str, EndpointWork] = {}
@@ -97,16 +97,16 @@
 
     def begin(self, endpoint: str, work: EndpointWork) -> None:
         """Record work that is about to be sent."""
-        self.own.setdefault(endpoint, EndpointWork()).add(work)
+        self.local.setdefault(endpoint, EndpointWork()).add(work)
         self._notify_change()
 
     def end(self, endpoint: str, work: EndpointWork) -> None:
         """Remove work that is complete or abandoned."""
-        held = self.own[endpoint]
+        held = self.local[endpoint]
         held.add(work, -1)
         if held.idle:
             # Otherwise rounding errors of the seconds would remain.
-            self.own.pop(endpoint)
+            self.local.pop(endpoint)
         self._notify_change()
 
     def accept_peer(
@@ -147,19 +147,19 @@
         if now >= self._next_expiry:
             self._remove_silent(now)
         total = EndpointWork()
-        for works in (self.own, self._peer_sums):
+        for works in (self.local, self._peer_sums):
             work = works.get(endpoint)
             if work is not None:
                 total.add(work)
         return total
 
-    def sum_without(
+    def sum_excluding(
         self,
         instances: Iterable[str],
         now: float,
     ) -> dict[str, EndpointWork]:
         """Sum the work in flight by endpoint, without that of some peers."""
-        names = self.own.keys() | self._peer_sums.keys()
+        names = self.local.keys() | self._peer_sums.keys()
         sums = {name: self.sum_at(name, now) for name in names}
         for instance in instances:
             peer = self._peers.get(instance)
@@ -176,12 +176,12 @@
         silent = [
             name
             for name, peer in self._peers.items()
-            if now - peer.heard_at >= FORGET_AFTER
+            if now - peer.received_at >= FORGET_AFTER
         ]
         for name in silent:
             self.forget_peer(name)
         oldest = min(
-            (peer.heard_at for peer in self._peers.values()),
+            (peer.received_at for peer in self._peers.values()),
             default=math.inf,
         )
         self._next_expiry = oldest + FORGET_AFTER
--- a/src/kelproad/transport/http.py
+++ b/src/kelproad/transport/http.py
@@ -12,9 +12,9 @@
 
 __all__ = [
     'ConnectionLostError',
-    'create_fresh_session',
+    'create_single_use_session',
     'create_session',
-    'watch_end',
+    'create_end_check',
 ]
 
 #: Seconds for which an idle connection is kept open.
@@ -47,7 +47,7 @@
     )
 
 
-def create_fresh_session(
+def create_single_use_session(
     origin: Address | None = None,
     **options: object,
 ) -> aiohttp.ClientSession:
@@ -90,7 +90,7 @@
         raise ConnectionLostError(repr(error)) from error
 
 
-def watch_end(response: aiohttp.ClientResponse) -> Callable[[], bool]:
+def create_end_check(response: aiohttp.ClientResponse) -> Callable[[], bool]:
     """Create a check of whether a body is complete.
 
     A body without a length ends with its connection, and aiohttp accepts a
--- a/src/kelproad/transport/servers.py
+++ b/src/kelproad/transport/servers.py
@@ -52,7 +52,7 @@
         on_malformed: Callable[[], None] = _ignore,
         keepalive: float = _KEEPALIVE_SECONDS,
         decode_bodies: bool = True,
-        farewell: float = 1.0,
+        shutdown_timeout: float = 1.0,
         header_bytes: int = MAX_HEADER_BYTES,
     ) -> None:
         """Prepare to serve an application; it listens once it is started.
@@ -70,7 +70,7 @@
         decode_bodies
             Whether content encodings of bodies are decoded; a body that is
             forwarded unread must stay encoded.
-        farewell
+        shutdown_timeout
             Seconds within which calls in progress must end when the server
             closes.
         header_bytes
@@ -87,7 +87,7 @@
         self._used: set[asyncio.BaseProtocol] = set()
         self._keepalive = keepalive
         self._decode_bodies = decode_bodies
-        self._farewell = farewell
+        self._farewell = shutdown_timeout
         self._header_bytes = header_bytes
         application.middlewares.insert(0, self._track_call)
 
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -20,12 +20,12 @@
 from kelproad.coordination.ingress.opening import abandon
 from kelproad.coordination.ingress.placement import Placement
 from kelproad.coordination.ingress.progress import Progress
-from kelproad.coordination.ingress.reach import ZoneReach
+from kelproad.coordination.ingress.reachability import ZoneReachability
+from kelproad.coordination.ingress.retries import RetryBudgets
 from kelproad.coordination.ingress.settings import Bounds
-from kelproad.coordination.ingress.sharing import SharedRetries
-from kelproad.coordination.ingress.verdicts import Verdicts
+from kelproad.coordination.ingress.verdicts import AttemptEvaluator
 from kelproad.platform.headers import (
-    answer_own,
+    build_refusal,
     encode_call,
     read_answer_head,
     read_call_head,
@@ -43,7 +43,7 @@
 from kelproad.state.refusals import Ran
 from kelproad.state.routes import CallKind, Route, WeightedService
 from kelproad.transport.deadlines import monotonic
-from kelproad.transport.http import create_fresh_session
+from kelproad.transport.http import create_single_use_session
 
 #: Seconds of silence for which an endpoint is to blame.
 SILENCE = 1.0
@@ -63,7 +63,7 @@
         (WeightedService('book', 1),),
         timeout=5,
         objective=1,
-        most_endpoints=2,
+        max_endpoints=2,
     )
     head = CallHead(REQUEST_ID, 'GET', 'h.example', '/r/x?y=%2F', 'key')
     return Call(head, route, 'book', None, b'', now, now + 5)
@@ -91,23 +91,23 @@
         read_call_head,
         encode_call,
         read_answer_head,
-        answer_own,
+        build_refusal,
         lambda session: None,
         '/ready',
     )
-    async with create_fresh_session(
+    async with create_single_use_session(
         trace_configs=[trace_connections()],
     ) as session:
         yield EndpointClient(session, dialect)
 
 
 @pytest.fixture
-def verdicts() -> Verdicts:
+def verdicts() -> AttemptEvaluator:
     """Judge attempts as one instance alone does."""
-    return Verdicts(
+    return AttemptEvaluator(
         EndpointTable(),
-        SharedRetries(Bounds, lambda: 1),
-        ZoneReach(),
+        RetryBudgets(Bounds, lambda: 1),
+        ZoneReachability(),
         EngineObservations(),
         Counters(),
     )
@@ -260,7 +260,7 @@
 
 async def test_an_endpoint_that_did_not_run_it_says_so(
     client: EndpointClient,
-    verdicts: Verdicts,
+    verdicts: AttemptEvaluator,
 ) -> None:
     """A full endpoint refuses; the promise that nothing ran is its own.
 
@@ -287,16 +287,16 @@
     progress = Progress()
     progress.note(failure, endpoint.name, endpoint.name)
     verdicts.note(call, Placement(endpoint), failure)
-    assert verdicts.explain_stop(call, progress) is None
-    assert not progress.may_hand_on_error(call)
+    assert verdicts.check_retry(call, progress) is None
+    assert not progress.may_forward_error(call)
     assert not endpoint.leaving
-    assert endpoint.disowned_until < monotonic()
+    assert endpoint.misdirected_until < monotonic()
 
 
 @pytest.mark.parametrize('mark', ['', 'X-Kelproad-Not-Executed: 1\r\n'])
 async def test_another_one_at_the_address_says_so(
     client: EndpointClient,
-    verdicts: Verdicts,
+    verdicts: AttemptEvaluator,
     mark: str,
 ) -> None:
     """An engine is gone, and its address serves another one.
@@ -318,7 +318,7 @@
         outcome = await send(client, endpoint)
     verdicts.note(build_call(), Placement(endpoint), outcome.failure())
     assert outcome.failure().ran is Ran.NO
-    assert endpoint.disowned_until > monotonic()
+    assert endpoint.misdirected_until > monotonic()
     assert not endpoint.consecutive_failures
 
 
--- a/tests/ingress/test_endpoints.py
+++ b/tests/ingress/test_endpoints.py
@@ -9,8 +9,8 @@
 from kelproad.coordination.ingress.caching import TableCache
 from kelproad.coordination.ingress.decoding import DecodedState
 from kelproad.coordination.ingress.endpoints import (
-    RETURN_SECONDS,
-    TOGETHER_SECONDS,
+    MASS_LAPSE_SECONDS,
+    RECOVERY_GRACE_SECONDS,
     EndpointRegistry,
 )
 from kelproad.coordination.ingress.tablestates import StoredRow, TableState
@@ -120,8 +120,8 @@
     assert set(table.all()) == {'i-1', 'i-2'}
     clock.now += 1
     registry.adopt(change(write('i-1', sequence=2)))
-    clock.now += RETURN_SECONDS
-    registry.publish()
+    clock.now += RECOVERY_GRACE_SECONDS
+    registry.publish_expired()
     assert set(table.all()) == {'i-1'}
 
 
@@ -138,8 +138,8 @@
     registry.adopt(change(write('i-1'), write('i-2')))
     registry.adopt(change(drop('i-1'), drop('i-2')))
     assert set(table.all()) == {'i-1', 'i-2'}
-    clock.now += TOGETHER_SECONDS
-    registry.publish()
+    clock.now += MASS_LAPSE_SECONDS
+    registry.publish_expired()
     assert not table.all()
 
 
@@ -208,9 +208,9 @@
     first = change(write('i-1'), write('i-2'))
     registry.adopt(first)
     cache = TableCache(operator.eq)
-    cache.take(first)
+    cache.update(first)
     spoilt = TableState(2, [StoredRow('i-1', b'', 2)], whole=False)
-    cache.take(decode(spoilt))
+    cache.update(decode(spoilt))
     registry.adopt(decode(cache.list_changes(None if whole else 1)))
     assert set(table.all()) == {'i-2'}
 
--- a/tests/ingress/test_exchange.py
+++ b/tests/ingress/test_exchange.py
@@ -6,14 +6,17 @@
 
 from kelproad.coordination.ingress import exchange as exchange_module
 from kelproad.coordination.ingress.exchange import WorkExchange
-from kelproad.coordination.ingress.peers import MOST_TOLD_ALL
-from kelproad.coordination.ingress.reach import SILENT_SECONDS, ZoneReach
+from kelproad.coordination.ingress.peers import MAX_FULL_MESH_PEERS
+from kelproad.coordination.ingress.reachability import (
+    SILENT_SECONDS,
+    ZoneReachability,
+)
 from kelproad.coordination.ingress.settings import NodeSettings
 from kelproad.coordination.ingress.tablestates import Provenance
 from kelproad.coordination.ingress.updates import (
     PeerUpdate,
     decode_update,
-    tell_work,
+    pack_work,
 )
 from kelproad.state.observations import EngineObservations
 from kelproad.state.work import FORGET_AFTER, EndpointWork, WorkLedger
@@ -54,7 +57,7 @@
     def __init__(self, name: str, zone: str, age: float = 0) -> None:
         """Stand in a zone, with a configuration of an age."""
         self.ledger = WorkLedger()
-        self.reach = ZoneReach()
+        self.reach = ZoneReachability()
         self.observations = EngineObservations()
         self.age = age
         self.zones: dict[str, str] = {}
@@ -83,8 +86,8 @@
 
     def tell(self) -> bytes:
         """Build the next datagram."""
-        self.exchange.peers.introduce('somebody', '10.9.9.9')
-        works = tell_work(self.ledger.own)
+        self.exchange.peers.add('somebody', '10.9.9.9')
+        works = pack_work(self.ledger.local)
         self.exchange._send(self.exchange.peers._peers.values(), works)
         return self.wire.datagrams[-1]
 
@@ -139,7 +142,7 @@
     clock: Clock,
 ) -> None:
     """An engine drains unseen: each instance had to be refused by itself."""
-    there.observations.note_refusal('i-1', clock.now)
+    there.observations.record_refusal('i-1', clock.now)
     here.exchange.receive(there.tell())
     assert here.observations.refuses_help('i-1', clock.now)
     assert not here.observations.refuses_help('i-2', clock.now)
@@ -164,14 +167,14 @@
     are used again; a failed connection renews the doubt.
     """
     here.exchange.receive(there.tell())
-    assert not here.reach.is_doubtful('zone-b', 1000)
+    assert not here.reach.is_suspect('zone-b', 1000)
     later = 1000 + SILENT_SECONDS
-    assert here.reach.is_doubtful('zone-b', later)
-    assert not here.reach.is_doubtful('zone-c', later)
-    here.reach.note_answer('zone-b', later + 1)
-    assert not here.reach.is_doubtful('zone-b', later + 2)
-    here.reach.note_unreached('zone-b', later + 3)
-    assert here.reach.is_doubtful('zone-b', later + 4)
+    assert here.reach.is_suspect('zone-b', later)
+    assert not here.reach.is_suspect('zone-c', later)
+    here.reach.record_answer('zone-b', later + 1)
+    assert not here.reach.is_suspect('zone-b', later + 2)
+    here.reach.record_connect_failure('zone-b', later + 3)
+    assert here.reach.is_suspect('zone-b', later + 4)
 
 
 def test_one_call_a_second_tries_a_doubtful_zone(here: Instance) -> None:
@@ -241,23 +244,23 @@
     That was 130 MB between zones in half a minute, mostly news that another
     datagram replaced before anybody used them.  A few peers are told at once.
     """
-    few, _ = exchange_module._choose_far_periods(5)
+    few, _ = exchange_module._choose_remote_periods(5)
     assert few < exchange_module._SEND_PERIOD
-    many, repeat = exchange_module._choose_far_periods(42)
+    many, repeat = exchange_module._choose_remote_periods(42)
     assert many == pytest.approx(0.105)
     assert repeat <= FORGET_AFTER / 3
-    most, _ = exchange_module._choose_far_periods(300)
+    most, _ = exchange_module._choose_remote_periods(300)
     assert most <= FORGET_AFTER / 3
 
 
 def test_what_did_not_change_is_told_again_later() -> None:
     """A datagram may be lost, so the same is told again, but not at once."""
-    told = exchange_module._LastTold()
-    assert told.take_due(1, 100, 0.1, 0.5)
-    assert not told.take_due(1, 100.2, 0.1, 0.5)
-    assert not told.take_due(2, 100.05, 0.1, 0.5)
-    assert told.take_due(2, 100.2, 0.1, 0.5)
-    assert told.take_due(2, 100.7, 0.1, 0.5)
+    told = exchange_module._LastReport()
+    assert told.mark_if_due(1, 100, 0.1, 0.5)
+    assert not told.mark_if_due(1, 100.2, 0.1, 0.5)
+    assert not told.mark_if_due(2, 100.05, 0.1, 0.5)
+    assert told.mark_if_due(2, 100.2, 0.1, 0.5)
+    assert told.mark_if_due(2, 100.7, 0.1, 0.5)
 
 
 async def test_new_work_is_told_at_once(clock: Clock) -> None:
@@ -267,8 +270,10 @@
     engines read both: each stream there paused for 0.34 s.
     """
     instance = Instance('a', 'zone-a')
-    instance.exchange.peers.introduce('bb', '10.0.0.2')
-    telling = asyncio.create_task(WorkExchange._tell.fun(instance.exchange))
+    instance.exchange.peers.add('bb', '10.0.0.2')
+    telling = asyncio.create_task(
+        WorkExchange._report_changes.fun(instance.exchange)
+    )
     await asyncio.sleep(0.1)
     before = len(instance.wire.datagrams)
     instance.ledger.begin('engine', EndpointWork(calls=1))
@@ -302,13 +307,13 @@
     """Stand in the first zone of a large fleet, of which all are heard."""
     for zone in range(ZONES):
         for number in range(MATES):
-            here.exchange.peers.introduce(
+            here.exchange.peers.add(
                 f'edge-{zone}-{number:02}',
                 f'10.{zone}.1.{number}',
                 'zone-a' if zone == 0 else f'zone-{zone}',
             )
     for peer in here.exchange.peers._peers.values():
-        peer.heard_at = clock.now
+        peer.received_at = clock.now
     here.exchange._socket = Hosts()
     return here
 
@@ -320,8 +325,8 @@
     until = clock.now + seconds
     while clock.now < until:
         for peer in instance.exchange.peers._peers.values():
-            peer.heard_at = clock.now
-        instance.exchange._tell_due(instance.ledger.changes, clock.now)
+            peer.received_at = clock.now
+        instance.exchange._send_due_reports(instance.ledger.changes, clock.now)
         clock.now += exchange_module._SEND_PERIOD
     return hosts
 
@@ -331,7 +336,7 @@
     clock: Clock,
 ) -> None:
     """195 instances sent 86,000 datagrams a second that said nothing new."""
-    large.exchange._tell_due(0, clock.now)
+    large.exchange._send_due_reports(0, clock.now)
     seconds = 10
     hosts = tell_for(large, clock, seconds)
     sent = sum(map(len, hosts.sent.values()))
@@ -371,25 +376,23 @@
         instance = Instance(f'edge-a-{rank:02}', 'zone-a')
         for number in range(MATES):
             name = f'edge-a-{number:02}'
-            instance.exchange.peers.introduce(
-                name, f'10.0.2.{number}', 'zone-a'
-            )
+            instance.exchange.peers.add(name, f'10.0.2.{number}', 'zone-a')
         for number in range(others):
-            instance.exchange.peers.introduce(
+            instance.exchange.peers.add(
                 f'edge-b-{number:02}',
                 f'10.1.1.{number}',
                 'zone-b',
             )
-        for number in range(MOST_TOLD_ALL):
-            instance.exchange.peers.introduce(
+        for number in range(MAX_FULL_MESH_PEERS):
+            instance.exchange.peers.add(
                 f'edge-c-{number:02}',
                 f'10.2.1.{number}',
                 'zone-c',
             )
         for peer in instance.exchange.peers._peers.values():
-            peer.heard_at = clock.now
+            peer.received_at = clock.now
         instance.exchange._socket = Hosts()
-        instance.exchange._tell_due(0, clock.now)
+        instance.exchange._send_due_reports(0, clock.now)
         for host in instance.exchange._socket.sent:
             heard[host] = heard.get(host, 0) + 1
     hearing = [host for host in heard if host.startswith('10.1.')]
@@ -407,22 +410,22 @@
     Only one instance of another zone sends here, and mostly not that one.
     """
     there = Instance('edge-1-07', 'zone-1')
-    for number in range(MOST_TOLD_ALL + 1):
-        there.exchange.peers.introduce(
+    for number in range(MAX_FULL_MESH_PEERS + 1):
+        there.exchange.peers.add(
             f'edge-a-{number}',
             f'10.0.1.{number}',
             'zone-a',
         )
-    there.exchange.peers.introduce('edge-1-00', '10.1.1.0', 'zone-1')
+    there.exchange.peers.add('edge-1-00', '10.1.1.0', 'zone-1')
     reader = there.exchange.peers._peers['edge-1-00']
-    reader.heard_at = clock.now
+    reader.received_at = clock.now
     reader.provenance = Provenance.STORE
     clock.now += 5
-    reader.heard_at = clock.now
+    reader.received_at = clock.now
     large.exchange.receive(there.tell())
     known = {
         reader.instance: reader.provenance
-        for reader in large.exchange.peers.list_heard(clock.now)
+        for reader in large.exchange.peers.list_live(clock.now)
     }
     assert known == {'edge-1-00': Provenance.STORE, 'edge-1-07': None}
 
@@ -434,5 +437,5 @@
     """Each takes its part of the retries permitted to all: few hear few."""
     own_zone = 1 + MATES
     assert large.exchange.peers.count_live(clock.now) == own_zone
-    large.reach.note_peer('zone-1', clock.now)
+    large.reach.record_peer('zone-1', clock.now)
     assert large.exchange.peers.count_live(clock.now) == own_zone + MATES
--- a/tests/ingress/test_following.py
+++ b/tests/ingress/test_following.py
@@ -133,7 +133,7 @@
     script = Script(state(9, 'a', whole=True), state(7, 'b'))
     follower = await follow(script)
     assert len(script.adopted) == 1
-    assert follower.sound_at == 100
+    assert follower.confirmed_at == 100
 
 
 async def test_a_suspended_machine_knows_that_it_is_behind(
@@ -167,7 +167,9 @@
     following = asyncio.create_task(TableFollower._follow.fun(follower))
     await asyncio.sleep(1)
     for _ in range(5):
-        follower._bear(StoreProblem(StoreProblemKind.UNREACHABLE, 'still'))
+        follower._record_failure(
+            StoreProblem(StoreProblemKind.UNREACHABLE, 'still')
+        )
     before = len(script.asked)
     await asyncio.sleep(2)
     following.cancel()
--- a/tests/ingress/test_memory.py
+++ b/tests/ingress/test_memory.py
@@ -4,8 +4,11 @@
 
 from returns.result import Result, Success
 
-from kelproad.coordination.ingress.memory import EngineOrders, MemoryKeeper
-from kelproad.coordination.ingress.placement import Share
+from kelproad.coordination.ingress.memory import (
+    EngineOperations,
+    MemoryReserver,
+)
+from kelproad.coordination.ingress.placement import MemoryShare
 from kelproad.coordination.ingress.settings import Bounds
 from kelproad.state.declarations import (
     EndpointDeclaration,
@@ -17,11 +20,11 @@
 TOKENS = 400_000
 
 
-def build_share() -> Share:
+def build_share() -> MemoryShare:
     """Build what an engine is to reserve."""
     declaration = EndpointDeclaration('i-1', 'zone-a', '10.0.0.1:80')
     group = EndpointGroup('writer', EndpointKind.ENGINE, [declaration])
-    return Share(Endpoint(declaration, group), TOKENS)
+    return MemoryShare(Endpoint(declaration, group), TOKENS)
 
 
 async def test_orders_under_way_are_taken_back() -> None:
@@ -49,7 +52,9 @@
     async def read_slowdown(_address: str) -> Result[float, str]:
         return Success(1)
 
-    keeper = MemoryKeeper(EngineOrders(reserve, release, read_slowdown), Bounds)
+    keeper = MemoryReserver(
+        EngineOperations(reserve, release, read_slowdown), Bounds
+    )
     reserving = asyncio.create_task(keeper.reserve('a-1', (build_share(),)))
     await asyncio.sleep(0.01)
     assert held
--- a/tests/ingress/test_misdirected.py
+++ b/tests/ingress/test_misdirected.py
@@ -13,11 +13,14 @@
 from kelproad.coordination.ingress.holder import ConfigurationHolder
 from kelproad.coordination.ingress.placement import Placement
 from kelproad.coordination.ingress.progress import Progress
-from kelproad.coordination.ingress.reach import SILENT_SECONDS, ZoneReach
+from kelproad.coordination.ingress.reachability import (
+    SILENT_SECONDS,
+    ZoneReachability,
+)
+from kelproad.coordination.ingress.retries import RetryBudgets
 from kelproad.coordination.ingress.settings import Bounds
-from kelproad.coordination.ingress.sharing import SharedRetries
 from kelproad.coordination.ingress.tablestates import StoredRow, TableState
-from kelproad.coordination.ingress.verdicts import Verdicts
+from kelproad.coordination.ingress.verdicts import AttemptEvaluator
 from kelproad.platform.rows import decode_endpoint
 from kelproad.state.counters import Counters
 from kelproad.state.endpoints import EndpointTable
@@ -54,12 +57,12 @@
         holder = ConfigurationHolder()
         holder.current = configuration
         self.table = EndpointTable()
-        reach = ZoneReach()
+        reach = ZoneReachability()
         self.registry = EndpointRegistry(self.table, lambda: LONG_AGO, 2)
         self.registry.adopt_configuration(configuration)
-        self.verdicts = Verdicts(
+        self.verdicts = AttemptEvaluator(
             self.table,
-            SharedRetries(Bounds, lambda: 1),
+            RetryBudgets(Bounds, lambda: 1),
             reach,
             EngineObservations(),
             Counters(),
@@ -113,7 +116,7 @@
                 build_call(),
                 Progress(),
                 NOW + later,
-            ).first.name
+            ).primary.name
             for _ in range(30)
         }
 
@@ -178,7 +181,7 @@
     instance: Instance,
 ) -> None:
     """A stream resumed with helpers behind a cut was refused and broken off."""
-    instance.chooser._reach.note_peer('a', NOW + SOON)
+    instance.chooser._reach.record_peer('a', NOW + SOON)
     later = NOW + SOON + 2 * SILENT_SECONDS
     used = instance.table.in_group('book')
     described = [
--- a/tests/ingress/test_placing.py
+++ b/tests/ingress/test_placing.py
@@ -11,14 +11,14 @@
     SPARE_TOKENS,
     TOKENS_PER_STREAM,
 )
-from kelproad.coordination.ingress.passes import predict_first_token
 from kelproad.coordination.ingress.placement import (
+    CallRequirements,
     Candidate,
-    Need,
+    NoPlacementError,
     Placement,
-    Unplaced,
 )
-from kelproad.coordination.ingress.placing import choose_engines, choose_plain
+from kelproad.coordination.ingress.predictions import predict_first_token
+from kelproad.coordination.ingress.selection import choose_engines, choose_plain
 from kelproad.standins.passes import EmulatedCall, Emulation
 from kelproad.state.declarations import (
     EndpointDeclaration,
@@ -27,7 +27,7 @@
 )
 from kelproad.state.endpoints import Endpoint
 from kelproad.state.engines import EngineProfile
-from kelproad.state.pauses import PauseLimits
+from kelproad.state.stalls import StallLimits
 from kelproad.state.work import EndpointWork, WorkLedger
 
 #: What the sites of today publish of their engines.
@@ -36,11 +36,11 @@
     memory_tokens=232_000,
     stride=43,
     step_seconds=0.00102,
-    writer_seconds=0.00000452,
+    stream_seconds=0.00000452,
     context_seconds=0.00000431,
     tokens_per_second=206_000,
     pair_seconds=0.000138,
-    pauses=PauseLimits.from_gaps((0.25, 0.6, 1)),
+    stall_limits=StallLimits.from_gaps((0.25, 0.6, 1)),
 )
 GENERATOR = random.Random(1)
 #: Share in time that either kind must reach, and about a pass in seconds.
@@ -53,8 +53,8 @@
 #: Calls of ten seconds of a heavy load.
 SUMMARIES = 500
 REVIEWS = 20
-SUMMARY = Need(5_000, 6_400, objective=0.3)
-REVIEW = Need(133_000, 134_000, objective=2.5)
+SUMMARY = CallRequirements(5_000, 6_400, objective=0.3)
+REVIEW = CallRequirements(133_000, 134_000, objective=2.5)
 
 
 def build(
@@ -72,7 +72,7 @@
     return Candidate(Endpoint(declaration, group), work, **more)
 
 
-def choose(candidates: list[Candidate], need: Need) -> Placement:
+def choose(candidates: list[Candidate], need: CallRequirements) -> Placement:
     """Choose with the profile of today's engines."""
     return choose_engines(candidates, need, PROFILE, GENERATOR)
 
@@ -83,7 +83,7 @@
         [build('idle'), build('writing', 3, 15_000), build('other', 1, 5_000)],
         SUMMARY,
     )
-    assert placement.first.name == 'writing'
+    assert placement.primary.name == 'writing'
     assert not placement.helpers
 
 
@@ -93,7 +93,7 @@
         [build('idle'), build('reading', 3, 15_000, reading=0.5)],
         SUMMARY,
     )
-    assert placement.first.name == 'idle'
+    assert placement.primary.name == 'idle'
 
 
 def test_the_nearest_zone_comes_first() -> None:
@@ -102,14 +102,14 @@
         [build('far', 6, 30_000, delay=0.005), build('near', 1, 5_000)],
         SUMMARY,
     )
-    assert placement.first.name == 'near'
+    assert placement.primary.name == 'near'
 
 
 def test_full_engines_are_left() -> None:
     """Beyond its slots a call would wait for another one's end."""
     placement = choose([build('full', 8, 40_000), build('idle')], SUMMARY)
-    assert placement.first.name == 'idle'
-    with pytest.raises(Unplaced) as unplaced:
+    assert placement.primary.name == 'idle'
+    with pytest.raises(NoPlacementError) as unplaced:
         choose([build('full', 8, 40_000)], SUMMARY)
     assert unplaced.value.worth_waiting
 
@@ -120,7 +120,7 @@
         [build('failing', failing=0.66), build('busy', 5, 25_000)],
         SUMMARY,
     )
-    assert placement.first.name == 'busy'
+    assert placement.primary.name == 'busy'
 
 
 def test_a_long_prompt_spares_engines_that_write() -> None:
@@ -129,7 +129,7 @@
     writing = [build(f'busy-{number}', 4, 20_000) for number in range(6)]
     placement = choose(idle + writing, REVIEW)
     names = [
-        placement.first.name,
+        placement.primary.name,
         *(helper.name for helper in placement.helpers),
     ]
     assert all(name.startswith('idle') for name in names)
@@ -141,7 +141,9 @@
     busy = [build(f'busy-{number}', 2, 10_000) for number in range(20)]
     placement = choose(busy, attrs.evolve(REVIEW, prompt_tokens=110_000))
     writing = PROFILE.predict_decode(2, 10_000)
-    assert placement.part_seconds + writing <= PROFILE.pauses.tight
+    assert (
+        placement.part_seconds + writing <= PROFILE.stall_limits.gap_sensitive
+    )
     assert len(placement.helpers) < MOST_PARTS
 
 
@@ -152,14 +154,14 @@
     review would have waited for engines without any stream.
     """
     writing = [build(f'busy-{number}', 2, 90_000) for number in range(5)]
-    with pytest.raises(Unplaced):
+    with pytest.raises(NoPlacementError):
         choose(writing, REVIEW)
     patient = [
         build(f'busy-{number}', 2, 90_000, patient=2) for number in range(5)
     ]
     placement = choose(patient, REVIEW)
     assert len(placement.helpers) == 4
-    assert placement.part_seconds <= PROFILE.pauses.loose
+    assert placement.part_seconds <= PROFILE.stall_limits.gap_tolerant
 
 
 def test_a_summary_leaves_patient_engines_alone() -> None:
@@ -168,7 +170,7 @@
         [build('patient', 4, 50_000, patient=4), build('hasty', 2, 10_000)],
         SUMMARY,
     )
-    assert placement.first.name == 'hasty'
+    assert placement.primary.name == 'hasty'
 
 
 def test_a_part_that_is_too_long_for_all_goes_where_least_is_worth() -> None:
@@ -181,7 +183,7 @@
     need = attrs.evolve(REVIEW, prompt_tokens=120_000, waited=1.3)
     placement = choose(engines, need)
     names = [
-        placement.first.name,
+        placement.primary.name,
         *(helper.name for helper in placement.helpers),
     ]
     assert sorted(names) == ['short-1', 'short-2']
@@ -196,18 +198,18 @@
         build(f'busy-{number}', 4, 20_000, reading=0.15) for number in range(9)
     ]
     free = [build('light-0', 1, 5_000, 0.1), build('light-1', 1, 5_000, 0.1)]
-    with pytest.raises(Unplaced) as unplaced:
+    with pytest.raises(NoPlacementError) as unplaced:
         choose(busy + free, REVIEW)
     assert unplaced.value.worth_waiting
     placement = choose(busy + free, attrs.evolve(REVIEW, waited=1.3))
-    assert placement.first.name.startswith('light')
+    assert placement.primary.name.startswith('light')
     assert len(placement.helpers) <= math.ceil(1.87 / (1.2 * 0.85))
 
 
 def test_memory_is_shared_out_where_no_engine_has_enough() -> None:
     """A prompt of 300,000 tokens: the rest is reserved at a helper."""
     engines = [build(f'idle-{number}') for number in range(12)]
-    need = Need(300_000, 301_000, objective=2.5)
+    need = CallRequirements(300_000, 301_000, objective=2.5)
     placement = choose(engines, need)
     reserved = sum(share.tokens for share in placement.shares)
     assert need.memory_tokens - reserved <= PROFILE.memory_tokens
@@ -226,7 +228,7 @@
     placement = choose(draining + idle, REVIEW)
     assert placement.helpers
     assert all(helper.name.startswith('idle') for helper in placement.helpers)
-    assert choose(draining, SUMMARY).first.name.startswith('draining')
+    assert choose(draining, SUMMARY).primary.name.startswith('draining')
 
 
 def test_slow_engines_are_left_to_patient_work() -> None:
@@ -236,10 +238,10 @@
     others.
     """
     slow = [build(f'slow-{number}', 1, 5_000, slowdown=4) for number in '123']
-    assert choose([*slow, build('idle')], SUMMARY).first.name == 'idle'
+    assert choose([*slow, build('idle')], SUMMARY).primary.name == 'idle'
     idle = [build(f'idle-{number}') for number in range(6)]
     placement = choose(slow + idle, REVIEW)
-    names = {placement.first.name, *(one.name for one in placement.helpers)}
+    names = {placement.primary.name, *(one.name for one in placement.helpers)}
     assert all(name.startswith('idle') for name in names)
 
 
@@ -250,27 +252,27 @@
         build(f'other-{number}', may_answer=False) for number in range(6)
     ]
     placement = choose(engines, REVIEW)
-    assert placement.first.name == 'first'
+    assert placement.primary.name == 'first'
     assert placement.helpers
 
 
 def test_what_no_engines_hold_is_hopeless() -> None:
     """Waiting can't help, so the caller hears it at once."""
     engines = [build(f'idle-{number}') for number in range(3)]
-    with pytest.raises(Unplaced) as unplaced:
-        choose(engines, Need(900_000, 901_000, objective=2.5))
+    with pytest.raises(NoPlacementError) as unplaced:
+        choose(engines, CallRequirements(900_000, 901_000, objective=2.5))
     assert not unplaced.value.worth_waiting
 
 
 def test_plain_calls_go_near_and_where_it_is_free() -> None:
     """Distance, queues and failures are weighed in seconds."""
     near, far = build('near', 8), build('far', delay=0.005)
-    assert choose_plain([near, far], GENERATOR, 0.05).first.name == 'far'
+    assert choose_plain([near, far], GENERATOR, 0.05).primary.name == 'far'
     near = build('near', 1)
-    assert choose_plain([near, far], GENERATOR, 0.05).first.name == 'near'
+    assert choose_plain([near, far], GENERATOR, 0.05).primary.name == 'near'
     near = build('near', failing=0.5)
-    assert choose_plain([near, far], GENERATOR, 0.05).first.name == 'far'
-    with pytest.raises(Unplaced):
+    assert choose_plain([near, far], GENERATOR, 0.05).primary.name == 'far'
+    with pytest.raises(NoPlacementError):
         choose_plain([], GENERATOR, 0.05)
 
 
@@ -302,14 +304,14 @@
         self.emulation.on_end = self._end
         self.reading: dict[int, list[tuple[str, EndpointWork]]] = {}
 
-    def expect(self, call: EmulatedCall, need: Need) -> None:
+    def expect(self, call: EmulatedCall, need: CallRequirements) -> None:
         """Have a call arrive at its time."""
         self.emulation.schedule(
             call.arrived,
             lambda: self.arrive(call, need),
         )
 
-    def arrive(self, call: EmulatedCall, need: Need) -> None:
+    def arrive(self, call: EmulatedCall, need: CallRequirements) -> None:
         """Place a call, or look again a little later."""
         now = self.emulation.now
         waited = attrs.evolve(need, waited=now - call.arrived)
@@ -319,14 +321,14 @@
         ]
         try:
             placement = self.policy(candidates, waited)
-        except Unplaced:
+        except NoPlacementError:
             self.emulation.schedule(
                 now + 0.01,
                 lambda: self.arrive(call, need),
             )
             return
         names = [
-            placement.first.name,
+            placement.primary.name,
             *(helper.name for helper in placement.helpers),
         ]
         part = EndpointWork(
@@ -339,7 +341,7 @@
             need.memory_tokens,
             patient_calls=self.patient and need.objective > 1,
         )
-        self.held[call.name] = [(placement.first.name, holding)]
+        self.held[call.name] = [(placement.primary.name, holding)]
         for name, work in (*self.reading[call.name], *self.held[call.name]):
             self.ledger.begin(name, work)
         self.emulation.send(call, names[0], names, placement.part_seconds)
@@ -353,7 +355,9 @@
             self.ledger.end(name, work)
 
 
-def choose_least(candidates: list[Candidate], need: Need) -> Placement:
+def choose_least(
+    candidates: list[Candidate], need: CallRequirements
+) -> Placement:
     """Place whole prompts where the fewest calls are, as proxies do."""
     best = min(candidates, key=lambda candidate: candidate.work.calls)
     reading = PROFILE.predict_prefill(need.prompt_tokens)
@@ -380,7 +384,7 @@
         spread = 0.5 if is_review else 0.7
         tokens = int(generator.lognormvariate(math.log(median), spread))
         objective, gap = (2.5, 1) if is_review else (0.29, 0.25)
-        need = Need(tokens, min(tokens + 1_400, 200_000), objective)
+        need = CallRequirements(tokens, min(tokens + 1_400, 200_000), objective)
         call = EmulatedCall(number, generator.uniform(0, 10), tokens, 32)
         limits[number] = (objective, gap)
         site.expect(call, need)
@@ -438,7 +442,7 @@
     """A prompt alone comes when predicted, give or take half a pass."""
     site = Site(3, choose)
     call = EmulatedCall(0, 0, 40_000, 3)
-    need = Need(40_000, 41_000, objective=1.5)
+    need = CallRequirements(40_000, 41_000, objective=1.5)
     site.emulation.schedule(0, lambda: site.arrive(call, need))
     site.emulation.run()
     reading = PROFILE.predict_prefill(40_000)
@@ -453,13 +457,15 @@
     without any, and only near the end of its caller's patience pauses a few.
     """
     busy = [build(f'busy-{number}', 7, 20_000) for number in range(18)]
-    need = Need(200_000, 201_000, objective=2.5, waited=1.3, patience=12)
-    with pytest.raises(Unplaced) as unplaced:
+    need = CallRequirements(
+        200_000, 201_000, objective=2.5, waited=1.3, silence_timeout=12
+    )
+    with pytest.raises(NoPlacementError) as unplaced:
         choose(busy, need)
     assert unplaced.value.worth_waiting
     idle = [build(f'idle-{number}') for number in '12']
     placement = choose(busy + idle, attrs.evolve(need, waited=2.4))
-    used = [placement.first, *placement.helpers]
+    used = [placement.primary, *placement.helpers]
     assert all(endpoint.name.startswith('idle') for endpoint in used)
     placement = choose(busy, attrs.evolve(need, waited=8.5))
     paused = 7 * (1 + len(placement.helpers))
@@ -469,8 +475,10 @@
 def test_a_prompt_that_cannot_come_in_time_is_refused() -> None:
     """Its caller will have left, so holding it helps nobody."""
     busy = [build(f'busy-{number}', 7, 20_000, 4) for number in range(18)]
-    need = Need(200_000, 201_000, objective=2.5, waited=8.5, patience=12)
-    with pytest.raises(Unplaced) as unplaced:
+    need = CallRequirements(
+        200_000, 201_000, objective=2.5, waited=8.5, silence_timeout=12
+    )
+    with pytest.raises(NoPlacementError) as unplaced:
         choose(busy, need)
     assert not unplaced.value.worth_waiting
 
@@ -484,7 +492,7 @@
     engines = [build(f'idle-{number}') for number in range(9)] + [
         build(f'busy-{number}', 6, 30_000) for number in range(9)
     ]
-    need = Need(500_000, 501_000, objective=2.5, waited=1.3)
+    need = CallRequirements(500_000, 501_000, objective=2.5, waited=1.3)
     placement = choose(engines, need)
-    used = [placement.first, *placement.helpers]
+    used = [placement.primary, *placement.helpers]
     assert all(endpoint.name.startswith('idle') for endpoint in used)
--- a/tests/ingress/test_probing.py
+++ b/tests/ingress/test_probing.py
@@ -8,7 +8,7 @@
 from kelproad.coordination.ingress import relaying as relaying_module
 from kelproad.coordination.ingress.probing import TableProbe
 from kelproad.coordination.ingress.queries import PeerQueries, TablesReply
-from kelproad.coordination.ingress.readers import Reader, ReaderChoice
+from kelproad.coordination.ingress.readers import Reader, ReaderSelector
 from kelproad.coordination.ingress.relaying import TableRelay
 from kelproad.coordination.ingress.settings import NodeSettings
 from kelproad.coordination.ingress.tables import TableFreshness
@@ -68,23 +68,23 @@
 READER = describe('10.0.0.1', 'zone-a')
 
 
-def open_relay(probe: TableProbe, choose: ReaderChoice) -> TableRelay:
+def open_relay(probe: TableProbe, choose: ReaderSelector) -> TableRelay:
     """Open the way to ask for the table; fetching it would fail."""
     return TableRelay(
         TABLE,
         'zone-a',
         choose,
-        probe.ask,
+        probe.query,
         session=None,
         port=7340,
         counters=Counters(),
     )
 
 
-def choose_reader() -> ReaderChoice:
+def choose_reader() -> ReaderSelector:
     """Choose the reader until it is avoided."""
     own = Reader('10.0.0.2', '10.0.0.2', 'zone-a')
-    return ReaderChoice(lambda: own, lambda _now: [READER])
+    return ReaderSelector(lambda: own, lambda _now: [READER])
 
 
 async def test_what_did_not_change_is_not_fetched() -> None:
@@ -92,7 +92,7 @@
     network = Network()
     network.join('10.0.0.1', 'zone-a')
     relay = open_relay(network.join('10.0.0.2', 'zone-a'), choose_reader())
-    told = await relay.ask(7)
+    told = await relay.query(7)
     assert (told.version, told.rows, told.whole) == (9, [], False)
     assert told.provenance is Provenance.SAME_ZONE
     assert told.age >= FRESH.age
@@ -113,9 +113,9 @@
     network = Network()
     network.join('10.0.0.1', 'zone-a')
     relay = open_relay(network.join('10.0.0.2', 'zone-a'), choose_reader())
-    await relay.ask(7)
+    await relay.query(7)
     clock[0] += 0.05
-    told = await relay.ask(7)
+    told = await relay.query(7)
     assert network.sent == 2
     assert told.age == pytest.approx(FRESH.age + 0.05)
 
@@ -126,7 +126,7 @@
     network.lost = {2}
     network.join('10.0.0.1', 'zone-a')
     asking = network.join('10.0.0.2', 'zone-a')
-    assert (await asking.ask(READER)).tables == {TABLE: FRESH}
+    assert (await asking.query(READER)).tables == {TABLE: FRESH}
 
 
 async def test_an_instance_that_does_not_answer_is_avoided() -> None:
@@ -134,7 +134,7 @@
     network = Network()
     choice = choose_reader()
     relay = open_relay(network.join('10.0.0.2', 'zone-a'), choice)
-    assert await relay.ask(7) is None
+    assert await relay.query(7) is None
     assert choice.choose(monotonic()) is None
 
 
@@ -143,7 +143,7 @@
     network = Network()
     network.join('10.0.0.1', 'zone-a')
     asking = network.join('10.0.0.3', 'zone-b')
-    assert not (await asking.ask(READER)).tables
+    assert not (await asking.query(READER)).tables
 
 
 @pytest.mark.parametrize('datagram', [b'', b'\xc1', b'\x93\x01\x05\x80', b'x'])
--- a/tests/ingress/test_progress.py
+++ b/tests/ingress/test_progress.py
@@ -13,18 +13,18 @@
     progress.note(REFUSED, 'first', 'draining')
     progress.note(REFUSED, 'second', 'draining-too')
     assert progress.tried == {'draining', 'draining-too'}
-    assert not progress.is_spent(most_endpoints=2)
-    assert progress.may_answer('first', most_endpoints=2)
-    assert not progress.may_answer('third', most_endpoints=2)
+    assert not progress.is_exhausted(max_endpoints=2)
+    assert progress.may_answer('first', max_endpoints=2)
+    assert not progress.may_answer('third', max_endpoints=2)
 
 
 def test_endpoints_that_refuse_are_spent() -> None:
     """A call is sent to no more endpoints than its route permits."""
     progress = Progress()
     progress.note(REFUSED, 'first', 'first')
-    assert progress.may_answer('second', most_endpoints=2)
+    assert progress.may_answer('second', max_endpoints=2)
     progress.note(REFUSED, 'second', 'second')
-    assert progress.is_spent(most_endpoints=2)
+    assert progress.is_exhausted(max_endpoints=2)
 
 
 def test_missing_memory_is_not_the_first_ones_fault() -> None:
@@ -34,7 +34,7 @@
         'memory could not be reserved',
         Ran.NO,
         arrived=False,
-        avoid='full',
+        exclude='full',
     )
     progress.note(failure, 'first', 'first')
     assert progress.tried == {'full'}
--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -17,9 +17,9 @@
 from kelproad.coordination.ingress import relaying as relaying_module
 from kelproad.coordination.ingress.caching import TableCache
 from kelproad.coordination.ingress.decoding import DecodedState
-from kelproad.coordination.ingress.readers import Reader, ReaderChoice
+from kelproad.coordination.ingress.readers import Reader, ReaderSelector
 from kelproad.coordination.ingress.relaying import build_answer
-from kelproad.coordination.ingress.tables import _Followed
+from kelproad.coordination.ingress.tables import _FollowedTable
 from kelproad.coordination.ingress.tablestates import (
     Provenance,
     StoredRow,
@@ -43,7 +43,7 @@
 def cache(*rows: StoredRow, version: int) -> TableCache:
     """Build a cache that has read these rows."""
     made = TableCache(operator.eq)
-    made.take(read(TableState(version, list(rows), whole=True)))
+    made.update(read(TableState(version, list(rows), whole=True)))
     return made
 
 
@@ -67,7 +67,7 @@
     """
     kept = cache(row('i-1', 1), row('i-2', 2), version=5)
     changed = [row('i-1', 7), row('i-2', 8, b'leaves')]
-    kept.take(read(TableState(8, changed, whole=False)))
+    kept.update(read(TableState(8, changed, whole=False)))
     told = kept.list_changes(5)
     assert list_keys(told) == ['i-2']
     assert told.version == 8
@@ -77,7 +77,7 @@
 def test_a_dropped_row_is_told() -> None:
     """An endpoint is gone: whoever asks later must hear of it."""
     kept = cache(row('i-1', 1), version=5)
-    kept.take(read(TableState(6, [row('i-1', 6, None)], whole=False)))
+    kept.update(read(TableState(6, [row('i-1', 6, None)], whole=False)))
     assert kept.list_changes(5).rows == [row('i-1', 6, None)]
     assert not kept.list_changes(None).rows
 
@@ -91,7 +91,7 @@
     """
     kept = cache(row('i-1', 1), version=5)
     spoilt = row('i-1', 6, b'')
-    kept.take(read(TableState(6, [spoilt], whole=False)))
+    kept.update(read(TableState(6, [spoilt], whole=False)))
     assert kept.list_changes(5).rows == [spoilt]
     assert kept.list_changes(None).rows == [spoilt]
 
@@ -107,8 +107,8 @@
 def test_a_row_that_comes_again_is_told() -> None:
     """An entry lapses and is back with the text that it had."""
     kept = cache(row('i-1', 1), version=5)
-    kept.take(read(TableState(6, [row('i-1', 6, None)], whole=False)))
-    kept.take(read(TableState(7, [row('i-1', 7)], whole=False)))
+    kept.update(read(TableState(6, [row('i-1', 6, None)], whole=False)))
+    kept.update(read(TableState(7, [row('i-1', 7)], whole=False)))
     assert kept.list_changes(6).rows == [row('i-1', 7)]
 
 
@@ -123,14 +123,14 @@
         self.now = 1000
         self.cut_off: set[str] = set()
         self.instances: dict[str, Reader] = {}
-        self.choices: dict[str, ReaderChoice] = {}
+        self.choices: dict[str, ReaderSelector] = {}
         for zone, mate in itertools.product(range(zones), range(mates)):
             self.start(f'zone-{zone}', f'edge-{zone}-{mate:02}')
 
     def start(self, zone: str, name: str) -> None:
         """Start an instance that has just read the store."""
         self.instances[name] = Reader(name, 'host', zone, Provenance.STORE)
-        self.choices[name] = ReaderChoice(
+        self.choices[name] = ReaderSelector(
             lambda: self.instances[name],
             lambda _now: [
                 reader
@@ -243,10 +243,10 @@
     """Two instances that ask each other would take old tables for fresh."""
     may_tell = {
         provenance: [
-            _Followed(
+            _FollowedTable(
                 types.SimpleNamespace(provenance=provenance),
                 cache=None,
-            ).may_tell(within_zone)
+            ).may_relay(within_zone)
             for within_zone in (True, False)
         ]
         for provenance in (*Provenance, None)
@@ -273,7 +273,7 @@
     ]
     follower = await follow(script)
     assert script.asked == [(5, 0)]
-    assert follower.sound_at == 100
+    assert follower.confirmed_at == 100
     assert script.adopted[0].version == 5
 
 
@@ -298,19 +298,19 @@
 )
 def test_an_unreadable_answer_is_no_answer(received: bytes) -> None:
     """Bytes that no instance would send change nothing."""
-    assert not isinstance(relaying_module._read_told(received), Success)
+    assert not isinstance(relaying_module._decode_reply(received), Success)
 
 
 def test_a_reader_that_is_behind_is_not_relied_on() -> None:
     """The store turns just the reader away, and serves all others."""
-    old = relaying_module._read_told(
+    old = relaying_module._decode_reply(
         build_answer(TableState(1, [], whole=True, age=2.1)).body,
     )
-    assert relaying_module._leave_out_old(old.unwrap()) is None
-    fresh = relaying_module._read_told(
+    assert relaying_module._discard_stale(old.unwrap()) is None
+    fresh = relaying_module._decode_reply(
         build_answer(TableState(1, [row('a', 1)], whole=True, age=1.9)).body,
     )
-    kept = relaying_module._leave_out_old(fresh.unwrap())
+    kept = relaying_module._discard_stale(fresh.unwrap())
     assert kept.rows == [row('a', 1)]
 
 
--- a/tests/ingress/test_spillover.py
+++ b/tests/ingress/test_spillover.py
@@ -10,12 +10,18 @@
 from kelproad.coordination.ingress import spillover as spillover_module
 from kelproad.coordination.ingress.choosing import Chooser
 from kelproad.coordination.ingress.holder import ConfigurationHolder
-from kelproad.coordination.ingress.peers import MOST_TOLD_ALL, PeerRegister
+from kelproad.coordination.ingress.peers import (
+    MAX_FULL_MESH_PEERS,
+    PeerRegister,
+)
 from kelproad.coordination.ingress.progress import Progress
 from kelproad.coordination.ingress.queries import WorkQuery, WorkReply
-from kelproad.coordination.ingress.reach import ZoneReach
+from kelproad.coordination.ingress.reachability import ZoneReachability
 from kelproad.coordination.ingress.settings import NodeSettings
-from kelproad.coordination.ingress.spillover import ZoneSpillover, answer_work
+from kelproad.coordination.ingress.spillover import (
+    ZoneSpillover,
+    answer_work_query,
+)
 from kelproad.state.calls import Call, CallHead
 from kelproad.state.declarations import (
     EndpointDeclaration,
@@ -47,7 +53,7 @@
         self.ledger = WorkLedger()
         self.observations = EngineObservations()
         self.peers = register('edge-b', 'zone-b')
-        self.peers.introduce('edge-a', '10.0.0.1', 'zone-a')
+        self.peers.add('edge-a', '10.0.0.1', 'zone-a')
         self.ledger.begin('i-b', EndpointWork(2, 9000, 0.2, 1))
         self.ledger.begin('i-a', EndpointWork(1, 100, 0.1, 1))
         from_a = {'i-b': EndpointWork(1, 5000, 0.1, 1)}
@@ -55,7 +61,7 @@
 
     def answer(self, question: WorkQuery) -> WorkReply:
         """Answer what is in flight in zone b."""
-        return answer_work(
+        return answer_work_query(
             question,
             'zone-b',
             self.table,
@@ -74,7 +80,7 @@
         self.asked = 0
         self.silent = False
 
-    async def ask(
+    async def query(
         self,
         kind: type[WorkQuery],
         host: str,
@@ -96,12 +102,12 @@
         self.ledger = WorkLedger()
         peers = register('edge-a', 'zone-a')
         for number in range(others):
-            peers.introduce(f'edge-b-{number}', f'10.0.1.{number}', 'zone-b')
+            peers.add(f'edge-b-{number}', f'10.0.1.{number}', 'zone-b')
         self.spillover = ZoneSpillover(
             'zone-a',
             self.line,
             peers,
-            ZoneReach(),
+            ZoneReachability(),
             self.ledger,
             EngineObservations(),
             random.Random(1),
@@ -119,7 +125,7 @@
         peer_port=7340,
         store_address=Address('10.9.9.9', 3),
     )
-    return PeerRegister(settings, ZoneReach())
+    return PeerRegister(settings, ZoneReachability())
 
 
 @pytest.fixture(autouse=True)
@@ -133,7 +139,7 @@
 
 async def test_work_at_far_engines_counts_once() -> None:
     """What the own zone sent there is heard from its instances already."""
-    here = Here(others=MOST_TOLD_ALL + 1)
+    here = Here(others=MAX_FULL_MESH_PEERS + 1)
     here.ledger.accept_peer('mate', {'i-b': EndpointWork(1, 5000, 0.1, 1)}, NOW)
     await here.spillover.refresh()
     known = here.ledger.sum_at('i-b', NOW)
@@ -146,30 +152,30 @@
     clock: list[float],
 ) -> None:
     """Each waiting call looks for engines every 10 ms."""
-    here = Here(others=MOST_TOLD_ALL + 1)
-    assert not here.spillover.knows('zone-b', clock[0])
+    here = Here(others=MAX_FULL_MESH_PEERS + 1)
+    assert not here.spillover.has_current_work('zone-b', clock[0])
     for _ in range(5):
         await asyncio.gather(*(here.spillover.refresh() for _ in range(4)))
         clock[0] += 0.01
     assert here.line.asked == 1
-    assert here.spillover.knows('zone-b', clock[0])
-    assert not here.spillover.knows('zone-b', clock[0] + 1)
+    assert here.spillover.has_current_work('zone-b', clock[0])
+    assert not here.spillover.has_current_work('zone-b', clock[0] + 1)
 
 
 async def test_a_zone_that_does_not_answer_is_not_used() -> None:
     """Nothing is known of its engines: each would look idle, and be full."""
-    here = Here(others=MOST_TOLD_ALL + 1)
+    here = Here(others=MAX_FULL_MESH_PEERS + 1)
     here.line.silent = True
     await here.spillover.refresh()
-    assert not here.spillover.knows('zone-b', NOW)
-    assert here.spillover.knows('zone-a', NOW)
+    assert not here.spillover.has_current_work('zone-b', NOW)
+    assert here.spillover.has_current_work('zone-a', NOW)
 
 
 def test_a_small_fleet_knows_all_engines_anyway() -> None:
     """There each instance tells each other one of all its work."""
-    here = Here(others=MOST_TOLD_ALL)
+    here = Here(others=MAX_FULL_MESH_PEERS)
     assert not here.spillover.is_needed
-    assert here.spillover.knows('zone-b', NOW)
+    assert here.spillover.has_current_work('zone-b', NOW)
 
 
 # Where calls are placed
@@ -180,7 +186,7 @@
 
     def __init__(self) -> None:
         """Know two engines in zone a, and those of zone b when asked."""
-        self.here = Here(others=MOST_TOLD_ALL + 1)
+        self.here = Here(others=MAX_FULL_MESH_PEERS + 1)
         self.table = EndpointTable()
         declarations = [
             EndpointDeclaration(name, zone, '10.0.0.1:80', slots=2)
@@ -198,7 +204,7 @@
             holder,
             self.table,
             self.here.ledger,
-            ZoneReach(),
+            ZoneReachability(),
             EngineObservations(),
             self.here.spillover,
             random.Random(1),
@@ -207,7 +213,7 @@
     async def place(self) -> str:
         """Place a short prompt; return its engine."""
         placement = await self.chooser.choose(build_call(), Progress())
-        return placement.first.name
+        return placement.primary.name
 
 
 ENGINES = types.MappingProxyType(
--- a/tests/ingress/test_stops.py
+++ b/tests/ingress/test_stops.py
@@ -87,7 +87,7 @@
     finishing = asyncio.create_task(drain.finish())
     await asyncio.sleep(0)
     time.sleep(0.2)
-    assert drain.is_late
+    assert drain.has_grace_ended
     finishing.cancel()
 
 
@@ -118,9 +118,9 @@
     drain = Drain(lambda: 1, lambda: times)
     drain.start()
     for _ in range(4):
-        now[0] += drain.bound_closing(HANGING)
-    assert 0 < drain.measure_until_kill() < HANGING
-    assert drain.bound_closing(HANGING) < drain.measure_until_kill()
+        now[0] += drain.bound_shutdown_step(HANGING)
+    assert 0 < drain.seconds_until_kill() < HANGING
+    assert drain.bound_shutdown_step(HANGING) < drain.seconds_until_kill()
 
 
 async def test_a_stop_that_has_ended_leaves_no_time() -> None:
@@ -133,7 +133,7 @@
     drain = Drain(int, lambda: StopTimes(grace=0, limit=GRACE))
     drain.start()
     assert not await drain.finish()
-    assert drain.measure_left() <= 0
+    assert drain.seconds_until_end() <= 0
 
 
 def test_a_late_call_is_answered_when_its_endpoint_is_silent(
--- a/tests/ingress/test_tables.py
+++ b/tests/ingress/test_tables.py
@@ -81,5 +81,11 @@
     script.follower = tables.endpoints
     await TableFollower._follow.fun(tables.endpoints)
     assert decoded == {1: 1, 2: 1, 3: 1}
-    assert tables.tell(ENDPOINTS, 1, within_zone=True).rows == rows[2:]
-    assert tables.tell(ENDPOINTS, None, within_zone=True).rows == rows[2:]
+    assert (
+        tables.list_changes_for_peer(ENDPOINTS, 1, within_zone=True).rows
+        == rows[2:]
+    )
+    assert (
+        tables.list_changes_for_peer(ENDPOINTS, None, within_zone=True).rows
+        == rows[2:]
+    )
--- a/tests/ingress/test_watching.py
+++ b/tests/ingress/test_watching.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from kelproad.coordination.ingress import watching as watching_module
-from kelproad.coordination.ingress.watching import EngineWatch
+from kelproad.coordination.ingress.watching import EngineSpeedMonitor
 from kelproad.platform.engines import _read_report
 from kelproad.state.declarations import (
     EndpointDeclaration,
@@ -51,7 +51,7 @@
         self.asked = 0
         self.ledger = WorkLedger()
         self.observations = EngineObservations()
-        self.watch = EngineWatch(
+        self.watch = EngineSpeedMonitor(
             'instance-b',
             Profiles(),
             self.ledger,
@@ -70,7 +70,7 @@
 
     def note(self, seconds: float) -> None:
         """Have a stream of the engine pause."""
-        self.watch.note_pause('writer', self.endpoint, seconds)
+        self.watch.record_stall('writer', self.endpoint, seconds)
 
     def find(self) -> float:
         """Find how slow the engine is known to be."""
@@ -80,7 +80,7 @@
 @pytest.fixture
 def site(monkeypatch: pytest.MonkeyPatch) -> Site:
     """Ask often."""
-    monkeypatch.setattr(watching_module, '_ASK_PERIOD', PERIOD)
+    monkeypatch.setattr(watching_module, '_QUERY_PERIOD', PERIOD)
     return Site()
 
 
@@ -131,7 +131,7 @@
     site.slowdown = Failure('no answer')
     site.note(0.2)
     await asyncio.sleep(PERIOD)
-    assert site.asked == watching_module._MOST_ASKS
+    assert site.asked == watching_module._MAX_QUERIES
     assert site.find() == 1
 
 
--- a/tests/test_claims_random.py
+++ b/tests/test_claims_random.py
@@ -63,7 +63,7 @@
         return
     accounts.ran[key] += 1
     if fate == 'unknown':
-        claims.leave_unknown(held)
+        claims.record_unknown(held)
     else:
         answer = RecordedAnswer(200, [], key.encode())
         await claims.record(held, answer, deadline)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,8 +13,8 @@
 
 from kelproad.coordination.acceptance import Accepted
 from kelproad.coordination.configuration import is_reader, list_changes
+from kelproad.coordination.conflicts import EditConflict
 from kelproad.coordination.history import find_apply, list_generations
-from kelproad.coordination.races import Raced
 from kelproad.protocol.messages import Changes
 from kelproad.protocol.settings import Settings
 from kelproad.standins.platform import Faults
@@ -42,7 +42,7 @@
     won = [item.unwrap() for item in outcomes if isinstance(item, Success)]
     lost = [item.failure() for item in outcomes if isinstance(item, Failure)]
     assert won == [Accepted('f', 2, 2)]
-    assert isinstance(lost[0], Raced), lost
+    assert isinstance(lost[0], EditConflict), lost
     assert [row.generation for row in lost[0].meanwhile] == [2]
     assert '-  - {name: w, key_digests: [], services: [], weight: 1}' in (
         lost[0].difference
@@ -109,7 +109,7 @@
     assert (landed.unwrap() is None) is is_overtaken
     repeated = await peer.apply(declare(1), 0, 'late')
     if is_overtaken:
-        assert isinstance(repeated.failure(), Raced)
+        assert isinstance(repeated.failure(), EditConflict)
     else:
         assert repeated == Success(Accepted('f', 1, 1))
     rows = await list_generations(peer.writer.platform, 'f')
@@ -173,7 +173,7 @@
 async def offer(peer: Peer, messages: list[Changes]) -> None:
     for changes in messages:
         before = peer.snapshot.revision
-        await peer.follower.take_changes(changes)
+        await peer.follower.accept_changes(changes)
         assert peer.snapshot.revision >= before
 
 
@@ -188,7 +188,7 @@
     for number in range(40):
         name = f'f{number}'
         await writer.apply(declare(1, name, name), 0, name)
-    fresh.follower.hear_member(Member('writer', 'a', 'writer', 1, 1, 40))
+    fresh.follower.observe_member(Member('writer', 'a', 'writer', 1, 1, 40))
     answers = 0
     while fresh.asked:
         wanted = fresh.asked.pop()
@@ -198,7 +198,7 @@
         changes = list_changes(
             writer.snapshot, writer.settings, wanted.after, 500
         )
-        await fresh.follower.take_changes(changes)
+        await fresh.follower.accept_changes(changes)
     assert answers > 5
     assert fresh.snapshot.files == writer.snapshot.files
     assert fresh.snapshot.workspaces['f0'].weight == 7
@@ -218,12 +218,12 @@
     await writer.apply(declare(2, 'f0', 'f0'), 1, 'again')
     settings = writer.settings
     first = list_changes(writer.snapshot, settings, 0, limit=300)
-    await fresh.follower.take_changes(first)
+    await fresh.follower.accept_changes(first)
     after = first.files[-1].revision
-    await fresh.follower.take_changes(list_changes(behind, settings, after))
+    await fresh.follower.accept_changes(list_changes(behind, settings, after))
     assert fresh.snapshot.revision == 0
     rest = list_changes(writer.snapshot, settings, after)
-    await fresh.follower.take_changes(rest)
+    await fresh.follower.accept_changes(rest)
     assert fresh.snapshot.files == writer.snapshot.files
 
 
@@ -267,8 +267,8 @@
     file = attrs.evolve(
         newest.files[0], generation=2, revision=2, text=text, digest=digest
     )
-    await other.follower.take_changes(newest)
-    await other.follower.take_changes(
+    await other.follower.accept_changes(newest)
+    await other.follower.accept_changes(
         attrs.evolve(newest, after=1, revision=2, files=[file]),
     )
     assert other.snapshot.pending['f'].generation == 2
@@ -336,7 +336,9 @@
     assert isinstance(await peer.apply('', 1, 'r1', remove='s'), Success)
     assert isinstance(await peer.apply('', 1, 'r2', remove='g'), Success)
     assert not peer.snapshot.services and not peer.snapshot.groups
-    assert isinstance((await peer.apply(group, 0, 'g0')).failure(), Raced)
+    assert isinstance(
+        (await peer.apply(group, 0, 'g0')).failure(), EditConflict
+    )
     assert isinstance(await peer.apply(group, 2, 'g2'), Success)
 
 
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -45,7 +45,7 @@
     peer: Peer,
     key: str,
 ) -> Result[Workspace, Refusal]:
-    return await confirmation.ask(
+    return await confirmation.resolve(
         lambda snapshot: admission.authenticate_workspace(snapshot, key),
         peer.holder.current,
         monotonic(),
@@ -111,7 +111,7 @@
     await asyncio.sleep(BRIEF)
     assert not listing.done()
     drain.start()
-    drain.end()
+    drain.interrupt_calls()
     listed = await listing
     assert listed.failure().code is RefusalCode.NOT_READY
     assert listed.failure().retry_after == 0
--- a/tests/test_continuations.py
+++ b/tests/test_continuations.py
@@ -6,8 +6,8 @@
 import pytest
 
 from kelproad.coordination.answers import DeliveryError
-from kelproad.coordination.delivery import WholeDelivery
-from kelproad.coordination.relays import Patience
+from kelproad.coordination.delivery import BufferedDelivery
+from kelproad.coordination.relays import EventTimeouts
 from kelproad.protocol.continuations import (
     Continuation,
     ContinuationError,
@@ -83,10 +83,10 @@
 
 
 def test_patience_leaves_time_for_another_engine() -> None:
-    assert Patience.from_prediction(0.1, 60).first == 3
-    assert Patience.from_prediction(0.1, 4).first == 2
-    assert Patience.from_prediction(10, 60).first == 30
-    assert Patience.from_prediction(10, 12).first == 15
+    assert EventTimeouts.from_prediction(0.1, 60).first == 3
+    assert EventTimeouts.from_prediction(0.1, 4).first == 2
+    assert EventTimeouts.from_prediction(10, 60).first == 30
+    assert EventTimeouts.from_prediction(10, 12).first == 15
 
 
 async def test_whole_answers_take_bounded_memory() -> None:
@@ -98,12 +98,12 @@
     size = 100 - EVENT_OVERHEAD
     event = Event(0, b'x' * size)
     budget = BufferBudget(300, 200)
-    first = WholeDelivery(True, 'r-1', budget)
+    first = BufferedDelivery(True, 'r-1', budget)
     await first.deliver([event, event])
     with pytest.raises(DeliveryError) as raised:
         await first.deliver([event])
     assert raised.value.refusal.code == 'answer_too_large'
-    second = WholeDelivery(True, 'r-2', budget)
+    second = BufferedDelivery(True, 'r-2', budget)
     await second.deliver([event])
     with pytest.raises(DeliveryError) as raised:
         await second.deliver([event])
@@ -117,7 +117,7 @@
 
 
 async def test_events_that_do_not_join_are_no_answer() -> None:
-    delivery = WholeDelivery(False, 'r-1', BufferBudget(1000, 1000))
+    delivery = BufferedDelivery(False, 'r-1', BufferBudget(1000, 1000))
     with pytest.raises(DeliveryError) as raised:
         await delivery.deliver([Event(0, b'no json'), Event(1, DONE)])
     assert raised.value.refusal.code == 'endpoint_failed'
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from kelproad.coordination.reception import Call
-from kelproad.coordination.sending import SEND_MARGIN, send_whole
+from kelproad.coordination.sending import SEND_MARGIN, send_response
 from kelproad.transport import servers as http_servers
 from kelproad.transport.addresses import Address
 from kelproad.transport.deadlines import monotonic
@@ -109,7 +109,7 @@
         began = monotonic()
         call = Call(http_request, 'id', began, began + 0.3)
         response = web.Response(body=bytes(50_000_000))
-        await send_whole(call, response)
+        await send_response(call, response)
         sent.append(monotonic() - began)
         return response
 
@@ -137,7 +137,7 @@
         raw = transport.get_extra_info('socket')
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         response = web.Response(body=bytes(50_000))
-        await send_whole(call, response)
+        await send_response(call, response)
         left.append(transport.get_write_buffer_size())
         return response
 
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -167,7 +167,7 @@
 async def test_run_without_an_answer_is_told_as_run(store: Store) -> None:
     """An answer was too long to pass on; the work is known to have run."""
     claims = create_claims(store)
-    claims.record_run((await acquire(claims, 'k')).unwrap())
+    claims.record_without_answer((await acquire(claims, 'k')).unwrap())
     assert await claims.finish(LONG) == 0
     refused = await acquire(claims, 'k')
     assert refused.failure().ran is Ran.YES
@@ -181,7 +181,7 @@
     claims = create_claims(store)
     claim = (await acquire(claims, 'k')).unwrap()
     await claims.record(claim, ANSWER, monotonic() + LONG)
-    monkeypatch.setattr('kelproad.coordination.verdicts.ANSWER_KEPT', -1)
+    monkeypatch.setattr('kelproad.coordination.verdicts.ANSWER_RETENTION', -1)
     refused = await acquire(claims, 'k')
     assert refused.failure().ran is Ran.YES
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -90,7 +90,7 @@
 
     async def take(self, holder: str, seconds: float) -> Lease:
         lease = self.create_lease(holder, seconds)
-        assert await lease.keep()
+        assert await lease.acquire_or_renew()
         return lease
 
 
@@ -115,7 +115,7 @@
     lowest = seconds
     ends = store.now + 2 * seconds
     while store.now < ends:
-        await lease.keep()
+        await lease.acquire_or_renew()
         lowest = min(lowest, lease.remaining)
         store.now += LOOK
     assert lowest >= seconds / RENEWALS
@@ -136,7 +136,7 @@
     store.silent_until = store.now + MAY_FAIL * share
     ends = store.now + 2 * seconds
     while store.now < ends:
-        assert await lease.keep()
+        assert await lease.acquire_or_renew()
         store.now += LOOK
     assert lease.body.token == 1
 
@@ -153,11 +153,11 @@
     hear of.  Meanwhile the zone got no orders, though it had one holder only.
     """
     lease = await store.take('a:1', 3)
-    taken_at = lease.taken_at
+    taken_at = lease.acquired_at
     store.now += 3 + lapsed_for
     assert not lease.is_held
-    assert await lease.keep()
-    assert (lease.body.token, lease.taken_at) == (1, taken_at)
+    assert await lease.acquire_or_renew()
+    assert (lease.body.token, lease.acquired_at) == (1, taken_at)
     assert lease.remaining == 3
 
 
@@ -165,13 +165,13 @@
     """Another one took over meanwhile: renewing late must not undo that."""
     old = await store.take('a:1', 3)
     new = store.create_lease('b:1', 3)
-    await new.keep()
+    await new.acquire_or_renew()
     store.now += 4
-    assert await new.keep()
+    assert await new.acquire_or_renew()
     for _ in range(3):
-        assert not await old.keep()
+        assert not await old.acquire_or_renew()
         store.now += 1
-        assert await new.keep()
+        assert await new.acquire_or_renew()
     assert old.body.holder == 'b:1'
     assert new.body.token == 2
 
@@ -185,14 +185,14 @@
     """
     await store.take('b:1', 10)
     lease = store.create_lease('a:1', 10)
-    await lease.keep()
+    await lease.acquire_or_renew()
     store.now += 11
     store.landing = 1
-    assert not await lease.keep()
+    assert not await lease.acquire_or_renew()
     begins = store.now
-    while not await lease.keep():
+    while not await lease.acquire_or_renew():
         store.now += LOOK
-    assert lease.taken_at >= begins
+    assert lease.acquired_at >= begins
 
 
 async def test_late_renewal_after_a_newer_holder_was_met(
@@ -203,11 +203,11 @@
     Renewed late, the old token would be refused for ever.
     """
     lease = await store.take('a:1', 3)
-    lease.drop()
+    lease.give_up()
     await lease.renew()
-    assert not await lease.keep()
+    assert not await lease.acquire_or_renew()
     store.now += 4
-    assert await lease.keep()
+    assert await lease.acquire_or_renew()
     assert lease.body.token == 2
 
 
@@ -218,7 +218,7 @@
     """
     lease = await store.take('a:1', 3)
     store.now += 1
-    store.meanwhile = lease.drop
+    store.meanwhile = lease.give_up
     await lease.renew()
     assert not lease.is_held
 
@@ -231,27 +231,27 @@
     """
     lease = await store.take('a:1', 3)
     if given_up:
-        lease.drop()
+        lease.give_up()
     store.now += 4
     store.row = None
-    await lease.keep()
-    assert await lease.keep()
-    assert (lease.body.token, lease.taken_at) == (1, store.now)
+    await lease.acquire_or_renew()
+    assert await lease.acquire_or_renew()
+    assert (lease.body.token, lease.acquired_at) == (1, store.now)
 
 
 async def test_renewing_late_after_giving_back(store: Store) -> None:
     """One that stops with its lease lapsed does not take it up again."""
     lease = await store.take('a:1', 3)
     store.now += 3
-    await lease.give_back()
-    assert not await lease.keep()
+    await lease.release()
+    assert not await lease.acquire_or_renew()
 
 
 async def test_renewing_after_giving_back(store: Store) -> None:
     """A stopping holder's renewal does not take back what it gave."""
     lease = await store.take('a:1', 3)
-    await lease.give_back()
+    await lease.release()
     store.now += 1
     await lease.renew()
     assert not lease.is_held
-    assert await store.create_lease('b:1', 3).keep()
+    assert await store.create_lease('b:1', 3).acquire_or_renew()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -184,7 +184,7 @@
         site.each[0].begin(request)
     flood, small = (site.request(SHORT, name) for name in ('flood', 'small'))
     assert not isinstance(site.each[0].admit(flood), Failure)
-    site.fleet.table.note_contention(SHORT, 3, 0.2, clock.now)
+    site.fleet.table.record_contention(SHORT, 3, 0.2, clock.now)
     refused = site.each[0].admit(flood).failure()
     assert 2 <= refused.retry_after <= 3
     assert not isinstance(site.each[0].admit(small), Failure)
@@ -197,7 +197,7 @@
     for number in range(200):
         site.each[0].admit(site.request(1_000 + number, f'w{number}'))
     told = site.each[0].describe_demand()
-    assert len(told) == limits.MOST_TOLD
+    assert len(told) == limits.MAX_ADVERTISED_WORKSPACES
     assert told['w199'].tokens > Demand().tokens
 
 
@@ -235,7 +235,7 @@
     """
     idle, indebted = Usage(), Usage()
     for usage in (idle, indebted):
-        usage.note_asked(1_000_000, 0)
+        usage.record_request(1_000_000, 0)
     indebted.tokens.credit = -1_000_000
     assert not idle.is_idle(idle.measure_demand(1))
     assert idle.is_idle(idle.measure_demand(60))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from kelproad.coordination.watch import list_wanted
+from kelproad.coordination.watch import list_due
 from kelproad.protocol.messages import (
     ChangesWanted,
     Gossip,
@@ -127,7 +127,7 @@
         for other in names - {name}:
             members.merge(Member(other, 'zone', '127.0.0.1:1', 1), now)
         identity = Identity(name, 'zone', 1)
-        for endpoint in list_wanted(identity, table, members, now):
+        for endpoint in list_due(identity, table, members, now):
             readers[endpoint.name].add(name)
     return readers
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -44,7 +44,7 @@
         if name.startswith(member.zone)
     ]
     assert not zone_mates
-    stretch = max(item.members.far_interval for item in site.running())
+    stretch = max(item.members.cross_zone_interval for item in site.running())
     await site.run(REMOVE_AFTER * (stretch - 1))
     assert site.count_ghosts() == 0
     assert site.count_missing() == 0
--- a/tests/test_observations.py
+++ b/tests/test_observations.py
@@ -8,9 +8,9 @@
 def test_engines_that_are_gone_are_forgotten() -> None:
     """Each start of an engine has a new name; memory grew with every one."""
     observations = EngineObservations()
-    observations.note_slowdown('i-1', 4, NOW)
-    observations.note_silence('i-1', NOW)
-    observations.note_refusal('i-1', NOW)
+    observations.record_slowdown('i-1', 4, NOW)
+    observations.record_silence('i-1', NOW)
+    observations.record_refusal('i-1', NOW)
     observations.accept_slow({'i-2': 4}, 'instance-b', NOW)
     observations.accept_refusing(['i-2'], NOW)
     assert observations.list_slow(NOW) == {'i-1': 4}
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,7 +11,7 @@
 from aiohttp.test_utils import TestServer
 
 from kelproad.coordination import failures, leases, orders, rollout
-from kelproad.coordination.orders import OrderKeeper
+from kelproad.coordination.orders import OrderController
 from kelproad.protocol.orders import OrderClient, OrderOutcome
 from kelproad.standins.orders import OrderedModels, skip_weights
 from kelproad.standins.platform import Faults
@@ -98,14 +98,14 @@
 
     bench: Bench
     engines: list[Engine]
-    keepers: list[OrderKeeper] = attrs.field(factory=list)
+    keepers: list[OrderController] = attrs.field(factory=list)
     peers: list[Peer] = attrs.field(factory=list)
     applies: itertools.count = attrs.field(factory=itertools.count)
 
-    def add_keeper(self) -> OrderKeeper:
+    def add_keeper(self) -> OrderController:
         name = f'i-{len(self.keepers)}'
         peer = self.bench.create_peer(name)
-        keeper = OrderKeeper(
+        keeper = OrderController(
             Identity.from_start(name, 'a'),
             peer.holder,
             EndpointTable(),
@@ -150,7 +150,7 @@
     async def reconcile_until(
         self,
         holds: Callable[[], bool],
-        *keepers: OrderKeeper,
+        *keepers: OrderController,
         seconds: float = 10,
     ) -> None:
         async with asyncio.timeout(seconds):
@@ -278,7 +278,7 @@
     for engine in fleet.engines:
         assert engine.models._attempts == 1
     if fleet.engines[0].enforces:
-        await old._give(
+        await old._send_order(
             next(
                 iter(
                     orders.derive_desired(fleet.peers[0].snapshot, 'a').values()
@@ -464,7 +464,7 @@
         await asyncio.sleep(0.05)
     assert not fleet.engines[1].versions
     assert 'draining, 1 streams' in keeper._notes['e1']
-    assert 'e1' in keeper._table.withheld_here
+    assert 'e1' in keeper._table.withheld_locally
     fleet.engines[1].streams = 0
     await fleet.reconcile_until(lambda: fleet.all_run('2'), keeper)
     assert min(ready) == 2
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -14,7 +14,7 @@
 from kelproad.standins.service import ServiceStandIn
 from kelproad.state.refusals import Ran, RefusalCode
 from kelproad.transport.deadlines import monotonic
-from kelproad.transport.http import create_fresh_session
+from kelproad.transport.http import create_single_use_session
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
 @pytest.fixture
 async def client() -> AsyncIterator[PlainClient]:
     """Give a client as instances use it."""
-    session = create_fresh_session(trace_configs=[trace_connections()])
+    session = create_single_use_session(trace_configs=[trace_connections()])
     yield PlainClient(session)
     await session.close()
 
--- a/tests/test_reclamation.py
+++ b/tests/test_reclamation.py
@@ -8,7 +8,11 @@
 import attrs
 import pytest
 
-from kelproad.coordination.orphans import Evidence, Ownership, judge_held
+from kelproad.coordination.orphans import (
+    Evidence,
+    OwnershipState,
+    find_orphan_evidence,
+)
 from kelproad.standins.texts import compose_answer
 from kelproad.state.holdings import HeldItem, Holding, HoldingTable
 from testbed.site import Site, SitePlan, start_site
@@ -259,14 +263,14 @@
         assert wait_until_free(site, FREE_WITHIN) == {}
 
 
-OWNERSHIP = Ownership(
-    own='me:5',
+OWNERSHIP = OwnershipState(
+    local_owner='me:5',
     recorded=HoldingTable(),
     incarnations={'me': 5, 'other': 7, 'gone': 3},
-    silent={'other': 0.5, 'gone': 40},
+    silent_seconds={'other': 0.5, 'gone': 40},
     watched_for=100,
     listed=frozenset(('other', 'unheard')),
-    zones_heard=True,
+    all_zones_live=True,
     forgotten_after=30,
 )
 
@@ -305,16 +309,18 @@
         **changes,
     )
     known = attrs.evolve(OWNERSHIP, recorded=recorded)
-    assert judge_held(item, known) is expected
+    assert find_orphan_evidence(item, known) is expected
 
 
 def test_silence_proves_nothing_in_a_cut() -> None:
     """A zone is cut off; seen from here, all its instances are forgotten."""
     item = HeldItem('stream', 'x', 'gone:3', 1, 10, attached=False)
     for doubt in ({'zones_heard': False}, {'listed': None}):
-        assert judge_held(item, attrs.evolve(OWNERSHIP, **doubt)) is None
-    started = attrs.evolve(OWNERSHIP, watched_for=5, silent={})
-    assert judge_held(item, started) is None
+        assert (
+            find_orphan_evidence(item, attrs.evolve(OWNERSHIP, **doubt)) is None
+        )
+    started = attrs.evolve(OWNERSHIP, watched_for=5, silent_seconds={})
+    assert find_orphan_evidence(item, started) is None
 
 
 def count_ran(site: Site) -> int:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -4,7 +4,7 @@
 
 from kelproad.coordination import routing
 from kelproad.coordination.attempts import Attempts
-from kelproad.coordination.ejection import note_outcome, note_stall
+from kelproad.coordination.ejection import record_outcome, record_stall
 from kelproad.coordination.retries import Retries
 from kelproad.state.budgets import RetryBudget
 from kelproad.state.counters import Counters
@@ -22,7 +22,7 @@
     """Let attempts at an endpoint fail."""
     endpoint = fleet.table.get(name)
     for _ in range(times):
-        note_outcome(fleet.table, endpoint, FAILED, now, Counters())
+        record_outcome(fleet.table, endpoint, FAILED, now, Counters())
 
 
 def test_caller_is_told_to_come_back_when_queues_have_drained() -> None:
@@ -41,10 +41,10 @@
         generator=fleet.random,
     )
     request = fleet.request(SHORT)
-    idle = attempts.suggest_pause(request)
-    fleet.table.note_contention(SHORT, 30, 1, monotonic())
+    idle = attempts.suggest_retry_after(request)
+    fleet.table.record_contention(SHORT, 30, 1, monotonic())
     assert idle == routing.MINIMUM_RETRY_AFTER
-    assert 29 < attempts.suggest_pause(request) <= 30
+    assert 29 < attempts.suggest_retry_after(request) <= 30
 
 
 def test_budget_bounds_retries_when_everything_fails() -> None:
@@ -109,7 +109,7 @@
     fail(fleet, 'e0', 3)
     endpoint = fleet.table.get('e0')
     endpoint.ejected_until = NOW - 1
-    note_outcome(fleet.table, endpoint, None, NOW, Counters())
+    record_outcome(fleet.table, endpoint, None, NOW, Counters())
     request = fleet.request(SHORT)
     chosen = [fleet.choose(request) for _ in range(200)]
     assert chosen.count('e0') < 10
@@ -127,7 +127,7 @@
     fleet = Fleet()
     endpoint = fleet.table.get('e0')
     for _ in range(10):
-        note_outcome(fleet.table, endpoint, LATE, NOW, Counters())
+        record_outcome(fleet.table, endpoint, LATE, NOW, Counters())
     assert endpoint.ejected_until < NOW
 
 
@@ -154,7 +154,7 @@
     fleet = Fleet()
     fail(fleet, 'e0', 3)
     endpoint = fleet.table.get('e0')
-    note_outcome(fleet.table, endpoint, None, NOW + 1, Counters())
+    record_outcome(fleet.table, endpoint, None, NOW + 1, Counters())
     assert endpoint.on_probation
 
 
@@ -182,7 +182,7 @@
         fails = chosen.endpoint is flapping and fleet.random.choice((0, 1))
         failed += bool(fails)
         refusal = FAILED if fails else None
-        note_outcome(fleet.table, chosen.endpoint, refusal, now, Counters())
+        record_outcome(fleet.table, chosen.endpoint, refusal, now, Counters())
     assert failed * 100 < sent
 
 
@@ -208,6 +208,6 @@
         endpoint = fleet.table.get('e0')
         endpoint.reported_at = NOW if silent else now
         for _ in range(3):
-            note_stall(fleet.table, chosen, SHORT, now, Counters())
+            record_stall(fleet.table, chosen, SHORT, now, Counters())
         assert (endpoint.ejected_until > now) is silent
         assert (endpoint.tokens_per_second < 1_000) is not silent
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,7 @@
 
 from kelproad.coordination import routing
 from kelproad.coordination.candidates import Search
-from kelproad.coordination.prediction import count_ahead, weigh_endpoint
+from kelproad.coordination.prediction import count_ahead, score_endpoint
 from kelproad.state.configuration import AppliedFile, Snapshot
 from kelproad.state.declarations import (
     Deployment,
@@ -101,7 +101,7 @@
         search = Search(
             self.request(tokens), self.table, 'a', NOW, self.random, frozenset()
         )
-        return weigh_endpoint(search, endpoint).predicted
+        return score_endpoint(search, endpoint).predicted
 
 
 @pytest.mark.parametrize('policy', list(Policy))
@@ -160,7 +160,7 @@
             frozenset(fleet.table.all()) - {'e0'},
         ).unwrap()
         endpoint.begin_prefill(SHORT, NOW)
-        routing.note_first_token(fleet.table, chosen, request, NOW + 0.02)
+        routing.record_first_token(fleet.table, chosen, request, NOW + 0.02)
     assert 90_000 < endpoint.tokens_per_second < 110_000
 
 
@@ -246,7 +246,7 @@
 
 def learn_predictions_are_right(fleet: Fleet) -> None:
     """Let predictions have come true often."""
-    for stretch in fleet.table.stretch:
+    for stretch in fleet.table.first_token_ratios:
         for _ in range(20):
             stretch.observe(1)
 
