--- a/src/kelproad/state/counters.py
+++ b/src/kelproad/state/counters.py
@@ -51,15 +51,15 @@
         )
         self.events_dropped = self._counter(
             'kelproad_events_dropped_total',
-            'Stream events not forwarded, by reason.',
+            'Stream events not passed on, by reason.',
         )
         self.streams_resumed = self._counter(
             'kelproad_streams_resumed_total',
-            'Broken streams that were resumed, by way of resuming.',
+            'Broken streams taken up again, by way.',
         )
         self.streams_broken = self._counter(
             'kelproad_streams_broken_total',
-            'Engine connections that ended before the answer, by ending.',
+            'Connections of engines that did not bring the end, by ending.',
         )
         self.claims = self._counter(
             'kelproad_claims_total',
@@ -99,15 +99,15 @@
         )
         self.lease_writes = self._counter(
             'kelproad_lease_writes_total',
-            'Writes of the lease for the orders of a zone.',
+            'Writes of the lease of the orders of a zone.',
         )
         self.retries = self._counter(
             'kelproad_retries_total',
-            'Failed attempts that could be retried, by decision.',
+            'Failed attempts that might be repeated, by what was decided.',
         )
         self.ejections = self._counter(
             'kelproad_ejections_total',
-            'Failing endpoints ejected, or kept as too many were ejected.',
+            'Failing endpoints taken out, or left in as too many were out.',
         )
         self.limited = self._counter(
             'kelproad_limited_total',
@@ -119,7 +119,7 @@
         )
         self.claims_unsettled = self._gauge(
             'kelproad_claims_unsettled',
-            'Claims whose outcome is not yet stored in the platform.',
+            'Claims whose outcome the platform does not have yet.',
         )
         self.latencies = Latencies(self.registry)
         self.in_progress = self._gauge(
--- a/tests/test_reclamation.py
+++ b/tests/test_reclamation.py
@@ -315,7 +315,7 @@
 def test_silence_proves_nothing_in_a_cut() -> None:
     """A zone is cut off; seen from here, all its instances are forgotten."""
     item = HeldItem('stream', 'x', 'gone:3', 1, 10, attached=False)
-    for doubt in ({'zones_heard': False}, {'listed': None}):
+    for doubt in ({'all_zones_live': False}, {'listed': None}):
         assert (
             find_orphan_evidence(item, attrs.evolve(OWNERSHIP, **doubt)) is None
         )
