--- a/src/kelproad/coordination/ingress/choosing.py
+++ b/src/kelproad/coordination/ingress/choosing.py
@@ -114,14 +114,16 @@
         if profile is None:
             work_seconds = call.route.objective * _PLAIN_WORK_SHARE
             return choose_plain(candidates, self._generator, work_seconds)
-        need = CallRequirements(
+        requirements = CallRequirements(
             prompt_tokens=call.head.prompt_tokens,
             memory_tokens=call.head.prompt_tokens + call.head.answer_tokens,
             objective=call.route.objective,
             waited=now - call.arrived,
             silence_timeout=call.route.silence_timeout,
         )
-        placement = choose_engines(candidates, need, profile, self._generator)
+        placement = choose_engines(
+            candidates, requirements, profile, self._generator
+        )
         gap_tolerant = profile.stall_limits.is_gap_tolerant(
             call.route.gap_objective
         )
@@ -138,8 +140,8 @@
                 monotonic(),
                 healthy_only=True,
             )
-        except NoPlacementError as unplaced:
-            _logger.debug('not placed in the local zone: %s', unplaced.reason)
+        except NoPlacementError as error:
+            _logger.debug('not placed in the local zone: %s', error.reason)
             return None
 
     def _exclude_unknown_zones(
--- a/src/kelproad/coordination/ingress/dispatching.py
+++ b/src/kelproad/coordination/ingress/dispatching.py
@@ -46,8 +46,8 @@
         self,
         chooser: Chooser,
         sender: Sender,
-        verdicts: AttemptEvaluator,
-        retries: RetryBudgets,
+        evaluator: AttemptEvaluator,
+        retry_budgets: RetryBudgets,
         ledger: WorkLedger,
         stop_guard: StopGuard,
         counters: Counters,
@@ -55,8 +55,8 @@
         """Combine the choice, the sending and the evaluation of attempts."""
         self._chooser = chooser
         self._sender = sender
-        self._verdicts = verdicts
-        self._retries = retries
+        self._evaluator = evaluator
+        self._retry_budgets = retry_budgets
         self._ledger = ledger
         self._stop_guard = stop_guard
         self._counters = counters
@@ -73,7 +73,7 @@
         CallerDisconnectedError
             When the caller has disconnected.
         """
-        self._retries.count_call(call.service, monotonic())
+        self._retry_budgets.count_call(call.service, monotonic())
         progress = Progress()
         delivery = StreamDelivery(http_request, call)
         try:
@@ -113,7 +113,7 @@
                 self._record_stream(call, placed.unwrap(), delivery)
                 return outcome
             _record_failure(progress, placed.unwrap(), outcome.failure())
-            stop = self._verdicts.check_retry(call, progress)
+            stop = self._evaluator.check_retry(call, progress)
             if stop is not None:
                 return _give_up(call, progress, delivery, stop)
             if delivery.begun:
@@ -131,9 +131,9 @@
                 return Failure(refuse_stopping())
             try:
                 return Success(await self._chooser.choose(call, progress))
-            except NoPlacementError as unplaced:
-                reason = unplaced.reason
-                may_wait = unplaced.worth_waiting
+            except NoPlacementError as error:
+                reason = error.reason
+                may_wait = error.worth_waiting
             if not may_wait or call.remaining(monotonic()) < ANSWER_MARGIN:
                 return Failure(_refuse_unplaced(reason))
             await asyncio.sleep(_PLACEMENT_PERIOD)
@@ -164,7 +164,7 @@
         finally:
             endpoint.own_requests -= 1
         failure = outcome.failure() if isinstance(outcome, Failure) else None
-        self._verdicts.note(call, placement, failure)
+        self._evaluator.note(call, placement, failure)
         return outcome
 
     def _record_stream(
--- a/src/kelproad/coordination/ingress/memory.py
+++ b/src/kelproad/coordination/ingress/memory.py
@@ -71,11 +71,11 @@
 
     def __init__(
         self,
-        orders: EngineOperations,
+        operations: EngineOperations,
         read_bounds: Callable[[], Bounds],
     ) -> None:
         """Reserve with operations of engines, within the operators' bounds."""
-        self._orders = orders
+        self._operations = operations
         self._read_bounds = read_bounds
         self._releases: set[asyncio.Task[None]] = set()
 
@@ -132,7 +132,9 @@
         while unanswered < _MAX_UNANSWERED:
             await asyncio.sleep(self._choose_hold() * _RENEW_SHARE)
             address = user.declaration.address
-            if isinstance(await self._orders.read_slowdown(address), Failure):
+            if isinstance(
+                await self._operations.read_slowdown(address), Failure
+            ):
                 unanswered += 1
             else:
                 unanswered = 0
@@ -165,7 +167,7 @@
         self,
         reservation: Reservation,
     ) -> Awaitable[Result[None, str]]:
-        return self._orders.reserve(
+        return self._operations.reserve(
             reservation.endpoint.declaration.address,
             reservation.ticket,
             reservation.tokens,
@@ -183,7 +185,7 @@
 
     async def _release(self, reservation: Reservation) -> None:
         for _ in range(_RELEASE_TRIES):
-            answered = await self._orders.release(
+            answered = await self._operations.release(
                 reservation.endpoint.declaration.address,
                 reservation.ticket,
             )
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -50,16 +50,18 @@
 
 def choose_non_disruptive(
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     share: float,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose the fewest engines that prefill without disruption, or none."""
-    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
+    prefill_seconds = profile.predict_prefill(requirements.prompt_tokens)
     ranked = sorted(
         (
             (
-                measure_prefill_allowance(candidate, need, share, profile),
+                measure_prefill_allowance(
+                    candidate, requirements, share, profile
+                ),
                 candidate,
             )
             for candidate in helpers
@@ -81,7 +83,7 @@
 
 def choose_least_disruptive(
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose the engines that meet the objective with the least disruption.
@@ -90,12 +92,12 @@
     meet the objective, or where more streams would stall too long than the
     prompt justifies.
     """
-    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
-    longest = need.left * FORCED_SHARE
+    prefill_seconds = profile.predict_prefill(requirements.prompt_tokens)
+    longest = requirements.left * FORCED_SHARE
     disruptions = [
         _Disruption.from_candidate(candidate, profile) for candidate in helpers
     ]
-    max_disrupted = need.prompt_tokens / TOKENS_PER_STREAM
+    max_disrupted = requirements.prompt_tokens / TOKENS_PER_STREAM
     best: list[Candidate] = []
     for count in range(1, min(MOST_PARTS, len(helpers)) + 1):
         part = prefill_seconds / count
@@ -171,7 +173,7 @@
     chosen: list[Candidate],
     able: list[Candidate],
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
@@ -185,11 +187,13 @@
     others = [candidate for candidate in chosen if candidate is not first]
     if not both:
         others = others[: len(chosen) - 1]
-    shares = _distribute_memory(first, others, helpers, need, profile)
+    shares = _distribute_memory(first, others, helpers, requirements, profile)
     # An engine that reserves memory prefills a part as well.
     holders = [share for share, _ in shares if share not in others]
     others.extend(holders)
-    part = profile.predict_prefill(need.prompt_tokens) / (len(others) + 1)
+    part = profile.predict_prefill(requirements.prompt_tokens) / (
+        len(others) + 1
+    )
     return Placement(
         first.endpoint,
         tuple(candidate.endpoint for candidate in others),
@@ -210,7 +214,7 @@
     first: Candidate,
     others: list[Candidate],
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> list[tuple[Candidate, int]]:
     """Distribute the memory that the answering engine lacks.
@@ -223,7 +227,7 @@
     NoPlacementError
         When the engines have too little free memory at present.
     """
-    missing = need.memory_tokens - measure_free_memory(first, profile)
+    missing = requirements.memory_tokens - measure_free_memory(first, profile)
     if missing <= 0:
         return []
     # The answering engine keeps its spare tokens as well.
@@ -244,13 +248,13 @@
         if missing <= 0:
             return shares
     raise NoPlacementError(
-        'too little free memory', worth_waiting=need.may_wait
+        'too little free memory', worth_waiting=requirements.may_wait
     )
 
 
 def require_memory(
     candidates: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> None:
     """Check that the engines together could hold a prompt and its answer.
@@ -262,7 +266,7 @@
     """
     engines = min(MOST_PARTS, len(candidates))
     total = engines * (profile.memory_tokens - SPARE_TOKENS)
-    if need.memory_tokens > max(total, profile.memory_tokens):
+    if requirements.memory_tokens > max(total, profile.memory_tokens):
         raise NoPlacementError(
             'larger than the memory of the engines', worth_waiting=False
         )
--- a/src/kelproad/coordination/ingress/predictions.py
+++ b/src/kelproad/coordination/ingress/predictions.py
@@ -59,7 +59,7 @@
 
 def measure_prefill_allowance(
     candidate: Candidate,
-    need: CallRequirements,
+    requirements: CallRequirements,
     share: float,
     profile: EngineProfile,
 ) -> float:
@@ -69,7 +69,7 @@
     is the stall that its streams tolerate, and a share of the rest of the
     prompt's objective.
     """
-    allowance = need.left * share / candidate.slowdown
+    allowance = requirements.left * share / candidate.slowdown
     allowance -= candidate.work.prefill_seconds
     if not candidate.work.calls:
         return allowance
--- a/src/kelproad/coordination/ingress/selection.py
+++ b/src/kelproad/coordination/ingress/selection.py
@@ -102,7 +102,7 @@
 
 def choose_engines(
     candidates: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
@@ -112,7 +112,7 @@
     ----------
     candidates
         Engines that may be used.
-    need
+    requirements
         Tokens and time limits of the call.
     profile
         Published speeds of the engines.
@@ -132,26 +132,26 @@
     ]
     if not with_slot:
         raise NoPlacementError(
-            'no engine has a slot', worth_waiting=need.may_wait
+            'no engine has a slot', worth_waiting=requirements.may_wait
         )
-    require_memory(candidates, need, profile)
+    require_memory(candidates, requirements, profile)
     with_room = [
         candidate
         for candidate in with_slot
-        if need.memory_tokens <= measure_free_memory(candidate, profile)
+        if requirements.memory_tokens <= measure_free_memory(candidate, profile)
     ]
-    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
+    prefill_seconds = profile.predict_prefill(requirements.prompt_tokens)
     non_disruptive = [
         candidate
         for candidate in with_room
         if measure_prefill_allowance(
-            candidate, need, PREFILL_SHARES[0], profile
+            candidate, requirements, PREFILL_SHARES[0], profile
         )
         >= prefill_seconds
     ]
     if non_disruptive:
         return _place_unsplit(
-            non_disruptive, need, prefill_seconds, profile, generator
+            non_disruptive, requirements, prefill_seconds, profile, generator
         )
     helpers = [
         candidate
@@ -162,17 +162,17 @@
     for share in PREFILL_SHARES:
         chosen = chosen or choose_non_disruptive(
             helpers,
-            need,
+            requirements,
             share,
             profile,
         )
     if not chosen:
-        chosen = _choose_disruptive(helpers, need, profile)
+        chosen = _choose_disruptive(helpers, requirements, profile)
     return place_parts(
         chosen,
         with_room or with_slot,
         helpers,
-        need,
+        requirements,
         profile,
         generator,
     )
@@ -180,7 +180,7 @@
 
 def _choose_disruptive(
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose engines for a prompt that would disrupt streams now.
@@ -195,13 +195,13 @@
         When it is to wait, or its first token would come after its caller has
         disconnected.
     """
-    if need.may_wait:
+    if requirements.may_wait:
         raise NoPlacementError(
             'engines are too busy for the prefill', worth_waiting=True
         )
-    late = need.with_silence_timeout()
+    late = requirements.with_silence_timeout()
     chosen = choose_least_disruptive(
-        helpers, need, profile
+        helpers, requirements, profile
     ) or choose_non_disruptive(
         helpers,
         late,
@@ -210,7 +210,7 @@
     )
     if chosen:
         return chosen
-    if need.may_wait_past_objective:
+    if requirements.may_wait_past_objective:
         raise NoPlacementError(
             'engines are too busy for the prefill', worth_waiting=True
         )
@@ -225,7 +225,7 @@
 
 def _place_unsplit(
     able: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     prefill_seconds: float,
     profile: EngineProfile,
     generator: random.Random,
@@ -233,7 +233,7 @@
     def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         return predict_first_token(candidate, prefill_seconds, profile)
 
-    packed = _choose_packed(able, need, score_candidate, profile)
+    packed = _choose_packed(able, requirements, score_candidate, profile)
     best, predicted = choose_lowest_score(
         packed or able, score_candidate, generator
     )
@@ -247,7 +247,7 @@
 
 def _choose_packed(
     able: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     score_candidate: Callable[[Candidate], float],
     profile: EngineProfile,
 ) -> list[Candidate]:
@@ -262,7 +262,7 @@
         if candidate.work.calls
         and count_free_slots(candidate, profile) > PACK_SPARE_SLOTS
         and score_candidate(candidate)
-        <= need.objective * PACK_SHARE - need.waited
+        <= requirements.objective * PACK_SHARE - requirements.waited
     ]
     if not decoding:
         return []
--- a/src/kelproad/coordination/ingress/sending.py
+++ b/src/kelproad/coordination/ingress/sending.py
@@ -88,21 +88,21 @@
     def __init__(
         self,
         client: EndpointClient,
-        memory: MemoryReserver,
+        reserver: MemoryReserver,
         ledger: WorkLedger,
-        retries: RetryBudgets,
-        watch: EngineSpeedMonitor,
+        retry_budgets: RetryBudgets,
+        speed_monitor: EngineSpeedMonitor,
     ) -> None:
         """Send with a client, and reserve memory where a placement needs it.
 
-        The ledger holds the work of engines, ``retries`` whether a call could
-        be sent again; ``watch`` gets reports of slow answers and stalls.
+        The ledger holds the work of engines, ``retry_budgets`` whether a call
+        could be sent again; ``speed_monitor`` gets slow answers and stalls.
         """
         self._client = client
-        self._retries = retries
-        self._watch = watch
+        self._retry_budgets = retry_budgets
+        self._speed_monitor = speed_monitor
         self._ledger = ledger
-        self._memory = memory
+        self._reserver = reserver
 
     async def send(
         self,
@@ -116,7 +116,7 @@
         attempt = _Attempt(call, placement, delivery, received, account)
         if not placement.shares:
             return await self._exchange(attempt)
-        reserved = await self._memory.reserve(
+        reserved = await self._reserver.reserve(
             f'{call.request_id}-{call.attempts}',
             placement.shares,
         )
@@ -154,7 +154,7 @@
                 exchange.cancel()
                 await asyncio.wait((exchange,))
         finally:
-            self._memory.release(reservations)
+            self._reserver.release(reservations)
 
     async def _renew_during(
         self,
@@ -163,7 +163,9 @@
     ) -> _SendResult:
         """Renew reservations until the exchange ends or its engine is lost."""
         renewal = asyncio.create_task(
-            self._memory.keep(attempt.reservations, attempt.placement.primary),
+            self._reserver.keep(
+                attempt.reservations, attempt.placement.primary
+            ),
         )
         try:
             await asyncio.wait(
@@ -189,8 +191,10 @@
         endpoint = placement.primary
 
         def is_stalled(silence: float) -> bool:
-            self._watch.record_stall(attempt.call.service, endpoint, silence)
-            if self._watch.is_silent(endpoint):
+            self._speed_monitor.record_stall(
+                attempt.call.service, endpoint, silence
+            )
+            if self._speed_monitor.is_silent(endpoint):
                 return True
             work = self._ledger.sum_at(endpoint.name, monotonic())
             return silence >= choose_stall_timeout(placement, work)
@@ -236,8 +240,10 @@
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return False
         placement = attempt.placement
-        self._watch.record_wait(placement.primary, waited, placement.predicted)
-        return self._watch.is_silent(placement.primary)
+        self._speed_monitor.record_wait(
+            placement.primary, waited, placement.predicted
+        )
+        return self._speed_monitor.is_silent(placement.primary)
 
     def _choose_head_deadline(self, attempt: _Attempt) -> float:
         """Choose the monotonic time until which to wait for the head.
@@ -264,7 +270,7 @@
         return (
             call.kind.repeatable
             and call.attempts < call.route.max_endpoints
-            and self._retries.affords(call.service)
+            and self._retry_budgets.affords(call.service)
         )
 
 
--- a/src/kelproad/coordination/ingress/spillover.py
+++ b/src/kelproad/coordination/ingress/spillover.py
@@ -37,7 +37,7 @@
         zone: str,
         queries: PeerQueries,
         peers: PeerRegister,
-        reach: ZoneReachability,
+        reachability: ZoneReachability,
         ledger: WorkLedger,
         observations: EngineObservations,
         generator: random.Random,
@@ -46,7 +46,7 @@
         self._zone = zone
         self._queries = queries
         self._peers = peers
-        self._reach = reach
+        self._reachability = reachability
         self._ledger = ledger
         self._observations = observations
         self._generator = generator
@@ -80,7 +80,7 @@
                 *(
                     self._query(zone, members)
                     for zone, members in self._peers.list_remote_hosts().items()
-                    if not self._reach.is_suspect(zone, monotonic())
+                    if not self._reachability.is_suspect(zone, monotonic())
                 ),
             )
         finally:
--- a/src/kelproad/coordination/ingress/verdicts.py
+++ b/src/kelproad/coordination/ingress/verdicts.py
@@ -37,8 +37,8 @@
     """Evaluates attempts that have ended."""
 
     _table: EndpointTable
-    _retries: RetryBudgets
-    _reach: ZoneReachability
+    _retry_budgets: RetryBudgets
+    _reachability: ZoneReachability
     _observations: EngineObservations
     _counters: Counters
 
@@ -59,13 +59,13 @@
         )
         zone = endpoint.declaration.zone
         if failure is None or failure.arrived:
-            self._reach.record_answer(zone, now)
+            self._reachability.record_answer(zone, now)
         if failure is None:
             record_outcome(self._table, endpoint, None, now, self._counters)
             return
         self._log_failure(call, endpoint, failure, now)
         if not (failure.arrived or failure.blameless):
-            self._reach.record_connect_failure(zone, now)
+            self._reachability.record_connect_failure(zone, now)
         if not failure.blameless:
             self._record_fault(placement, failure, now)
 
@@ -88,7 +88,7 @@
             return _refuse(RefusalCode.NO_CAPACITY, failure.reason)
         # No endpoint has seen a call that did not arrive: sending it again adds
         # no load and needs no retry from the budget.
-        if failure.arrived and not self._retries.spend(call.service):
+        if failure.arrived and not self._retry_budgets.spend(call.service):
             self._counters.retries.inc({'outcome': 'budget spent'})
             return _refuse(RefusalCode.NO_CAPACITY, 'retry budget spent')
         self._counters.retries.inc({'outcome': 'permitted'})
