--- a/src/kelproad/coordination/ingress/accounting.py
+++ b/src/kelproad/coordination/ingress/accounting.py
@@ -18,12 +18,12 @@
     ) -> None:
         """Derive the work from a placement; nothing is recorded yet."""
         self._ledger = ledger
-        first = placement.primary.name
+        primary = placement.primary.name
         reserved = sum(share.tokens for share in placement.shares)
         needed = call.head.prompt_tokens + call.head.answer_tokens
         self._held = [
             (
-                first,
+                primary,
                 EndpointWork(
                     calls=1,
                     context_tokens=needed - reserved,
--- a/src/kelproad/coordination/ingress/dispatching.py
+++ b/src/kelproad/coordination/ingress/dispatching.py
@@ -176,10 +176,10 @@
         """Record the timing of a complete stream in the metrics and the log."""
         if delivery.first_at is None:
             return
-        first = delivery.first_at - call.arrived
+        first_event = delivery.first_at - call.arrived
         self._counters.latencies.first_events.observe(
             {'service': call.service},
-            first,
+            first_event,
         )
         record(
             _logger,
@@ -187,7 +187,7 @@
             request=call.request_id,
             endpoint=placement.primary.name,
             predicted=round(placement.predicted, 4),
-            first_event=round(first, 4),
+            first_event=round(first_event, 4),
             longest_gap=round(delivery.longest_gap, 4),
             gap_ended=round(delivery.gap_ended_at - call.arrived, 4),
         )
--- a/src/kelproad/coordination/ingress/memory.py
+++ b/src/kelproad/coordination/ingress/memory.py
@@ -71,11 +71,11 @@
 
     def __init__(
         self,
-        operations: EngineOperations,
+        orders: EngineOperations,
         read_bounds: Callable[[], Bounds],
     ) -> None:
         """Reserve with operations of engines, within the operators' bounds."""
-        self._operations = operations
+        self._operations = orders
         self._read_bounds = read_bounds
         self._releases: set[asyncio.Task[None]] = set()
 
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -183,11 +183,11 @@
     def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         return predict_first_token(candidate, 0, profile)
 
-    first, _ = choose_lowest_score(both or able, score_candidate, generator)
-    others = [candidate for candidate in chosen if candidate is not first]
+    primary, _ = choose_lowest_score(both or able, score_candidate, generator)
+    others = [candidate for candidate in chosen if candidate is not primary]
     if not both:
         others = others[: len(chosen) - 1]
-    shares = _distribute_memory(first, others, helpers, requirements, profile)
+    shares = _distribute_memory(primary, others, helpers, requirements, profile)
     # An engine that reserves memory prefills a part as well.
     holders = [share for share, _ in shares if share not in others]
     others.extend(holders)
@@ -195,7 +195,7 @@
         len(others) + 1
     )
     return Placement(
-        first.endpoint,
+        primary.endpoint,
         tuple(candidate.endpoint for candidate in others),
         tuple(
             MemoryShare(candidate.endpoint, tokens)
@@ -204,14 +204,14 @@
         part_seconds=part,
         predicted=max(
             predict_first_token(candidate, part, profile)
-            for candidate in (first, *others)
+            for candidate in (primary, *others)
         ),
         considered=len(able),
     )
 
 
 def _distribute_memory(
-    first: Candidate,
+    primary: Candidate,
     others: list[Candidate],
     helpers: list[Candidate],
     requirements: CallRequirements,
@@ -227,13 +227,13 @@
     NoPlacementError
         When the engines have too little free memory at present.
     """
-    missing = requirements.memory_tokens - measure_free_memory(first, profile)
+    missing = requirements.memory_tokens - measure_free_memory(primary, profile)
     if missing <= 0:
         return []
     # The answering engine keeps its spare tokens as well.
     missing += SPARE_TOKENS
     ranked = sorted(
-        (candidate for candidate in helpers if candidate is not first),
+        (candidate for candidate in helpers if candidate is not primary),
         key=lambda candidate: (
             candidate not in others,
             -measure_free_memory(candidate, profile),
--- a/src/kelproad/coordination/ingress/placement.py
+++ b/src/kelproad/coordination/ingress/placement.py
@@ -62,7 +62,7 @@
         Seconds since arrival.
     silence_timeout
         Seconds from arrival without a first token after which the caller
-        disconnects (its silence timeout).
+        disconnects.
     """
 
     prompt_tokens: int
@@ -110,7 +110,7 @@
     helpers
         Helper engines, which prefill parts of the prompt.
     shares
-        Memory to reserve at helpers, where the first engine has too little.
+        Memory to reserve at helpers, where the primary has too little.
     part_seconds
         Predicted seconds of prefill at each engine.
     predicted
--- a/src/kelproad/coordination/ingress/progress.py
+++ b/src/kelproad/coordination/ingress/progress.py
@@ -44,24 +44,26 @@
         """Record that an attempt starts."""
         self.in_flight = True
 
-    def note(self, failure: AttemptFailure, first: str, at_fault: str) -> None:
+    def note(
+        self, failure: AttemptFailure, primary: str, at_fault: str
+    ) -> None:
         """Record an attempt that failed.
 
         Parameters
         ----------
         failure
             The failure.
-        first
+        primary
             Endpoint that it was sent to.
         at_fault
-            Endpoint at fault: ``first`` or one of its helpers.  With that
-            helper excluded, the call may be sent to ``first`` again.
+            Endpoint at fault: ``primary`` or one of its helpers.  With that
+            helper excluded, the call may be sent to ``primary`` again.
         """
         self.last = failure
         self.in_flight = False
         self.tried.add(failure.exclude or at_fault)
         if failure.arrived:
-            self.reached.add(first)
+            self.reached.add(primary)
         if failure.ran is not Ran.NO and self.ran is not Ran.YES:
             self.ran = failure.ran
         if failure.answer is not None:
--- a/src/kelproad/coordination/ingress/reachability.py
+++ b/src/kelproad/coordination/ingress/reachability.py
@@ -15,7 +15,7 @@
 SILENT_SECONDS = 0.7
 #: Seconds without a datagram of any instance of a zone after which none of them
 #: counts as live.
-HEARD_SECONDS = 3.0
+LIVE_SECONDS = 3.0
 #: Seconds between two calls that may probe a suspect zone.
 _PROBE_SECONDS = 1.0
 
@@ -68,7 +68,7 @@
         times = self._zones.get(zone)
         if times is None or times.peer_at is None:
             return False
-        return now - times.peer_at < HEARD_SECONDS
+        return now - times.peer_at < LIVE_SECONDS
 
     def take_probe(self, zone: str, now: float) -> bool:
         """Permit one call a second to probe a suspect zone."""
