--- a/src/kelproad/state/endpoints.py
+++ b/src/kelproad/state/endpoints.py
@@ -33,7 +33,7 @@
         Prompt tokens that this instance has in flight there.
     peer_tokens
         Prompt tokens that other instances report to have in flight there.
-    own_by_class, peer_by_class
+    local_by_class, peer_by_class
         The same by length class, which is the priority at the engine.
     reported_at
         Monotonic time to which ``report`` refers.
--- a/src/kelproad/state/work.py
+++ b/src/kelproad/state/work.py
@@ -33,7 +33,7 @@
     helping
         Prompts of which it prefills a part for another engine.
     patient_calls
-        Calls among them with gap-tolerant streams, mostly those of long
+        Calls among them whose streams tolerate long gaps, mostly those of long
         prompts.
     """
 
--- a/src/kelproad/transport/servers.py
+++ b/src/kelproad/transport/servers.py
@@ -87,7 +87,7 @@
         self._used: set[asyncio.BaseProtocol] = set()
         self._keepalive = keepalive
         self._decode_bodies = decode_bodies
-        self._farewell = shutdown_timeout
+        self._shutdown_timeout = shutdown_timeout
         self._header_bytes = header_bytes
         application.middlewares.insert(0, self._track_call)
 
@@ -103,7 +103,7 @@
             max_field_size=self._header_bytes,
             keepalive_timeout=self._keepalive,
             auto_decompress=self._decode_bodies,
-            shutdown_timeout=self._farewell,
+            shutdown_timeout=self._shutdown_timeout,
         )
         await self._runner.setup()
         loop = asyncio.get_running_loop()
