--- a/bench/adoption.py
+++ b/bench/adoption.py
@@ -13,7 +13,7 @@
 from kelproad.protocol.files import parse_file
 from kelproad.protocol.messages import encode_message
 from kelproad.protocol.settings import Settings
-from kelproad.state.configuration import AppliedFile, Snapshot, extend
+from kelproad.state.configuration import AppliedFile, Snapshot, extend_snapshot
 
 _SIZES = (10, 500, 2100)
 _SETTINGS = Settings('i', 'z', '', '', '', '', '', {})
@@ -53,9 +53,9 @@
         started = time.process_time()
         built = asyncio.run(build_file('f0', 2, 9999, digest_text(text), text))
         changed = AppliedFile('f0', 2, 9999, 'd', text, None)
-        extend(snapshot, [built], 9999)
+        extend_snapshot(snapshot, [built], 9999)
         best = min(best, time.process_time() - started)
-    newer = extend(snapshot, [changed], 9999)
+    newer = extend_snapshot(snapshot, [changed], 9999)
     message = list_changes(newer, _SETTINGS, snapshot.revision)
     whole = sum(len(item.text) for item in snapshot.files.values())
     print(
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -88,7 +88,7 @@
     applied = AppliedFile('all', 1, 1, '', '', content)
     snapshot = Snapshot.from_files(1, {'all': applied})
     table = EndpointTable()
-    table.follow(snapshot)
+    table.apply_snapshot(snapshot)
     for number, endpoint in enumerate(table.all().values()):
         report = EndpointReport(
             endpoint.name,
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -77,7 +77,7 @@
         platform = _Listed(listing)
         holder = SnapshotHolder()
         holder.adopt(_declare(len(listing.instances)))
-        self.table.follow(holder.current)
+        self.table.apply_snapshot(holder.current)
         follower = ConfigurationFollower(
             settings,
             holder,
--- a/bench/slopes_tables.py
+++ b/bench/slopes_tables.py
@@ -13,7 +13,7 @@
 from kelproad.coordination.loading import build_file
 from kelproad.coordination.routing import choose_endpoint
 from kelproad.protocol.messages import Changes, FileChange, encode_message
-from kelproad.state.configuration import AppliedFile, Snapshot, extend
+from kelproad.state.configuration import AppliedFile, Snapshot, extend_snapshot
 from kelproad.state.declarations import (
     EndpointDeclaration,
     EndpointGroup,
@@ -81,7 +81,7 @@
     started = time.process_time()
     _build_files(texts)
     parsing = (time.process_time() - started) / size
-    snapshot = extend(Snapshot.empty(), files, size)
+    snapshot = extend_snapshot(Snapshot.empty(), files, size)
     changed = files[0]
     newer = AppliedFile(
         changed.name,
@@ -91,7 +91,7 @@
         changed.text,
         changed.content,
     )
-    seconds = _time(lambda: extend(snapshot, [newer], size + 1))
+    seconds = _time(lambda: extend_snapshot(snapshot, [newer], size + 1))
     return [
         Row(
             'workspaces',
@@ -149,7 +149,7 @@
 
 def _fill_table(snapshot: Snapshot) -> EndpointTable:
     table = EndpointTable()
-    table.follow(snapshot)
+    table.apply_snapshot(snapshot)
     for model in range(_MODELS):
         for endpoint in table.in_group(f'group-{model}'):
             report = EndpointReport(
--- a/src/kelproad/coordination/configuration.py
+++ b/src/kelproad/coordination/configuration.py
@@ -27,7 +27,7 @@
     PendingFile,
     Snapshot,
     SnapshotHolder,
-    extend,
+    extend_snapshot,
 )
 from ..state.counters import Counters
 from ..state.endpoints import EndpointTable
@@ -180,7 +180,9 @@
         if changes.complete:
             self._transfer = None
             offered, base = transfer.offered, transfer.base
-            self._adopt(extend(base, offered, changes.revision), 'peer')
+            self._adopt(
+                extend_snapshot(base, offered, changes.revision), 'peer'
+            )
         else:
             self._transfer = transfer
             self._request_changes(changes.reply_to, transfer.after)
@@ -264,7 +266,7 @@
         previous = self._holder.current
         if not self._holder.adopt(snapshot):
             return
-        self._table.follow(snapshot)
+        self._table.apply_snapshot(snapshot)
         self._counters.adoptions.inc({'source': source, 'outcome': 'adopted'})
         self.log.info(
             'configuration revision %d in force, was %d, from %s',
--- a/src/kelproad/coordination/ingress/choosing.py
+++ b/src/kelproad/coordination/ingress/choosing.py
@@ -47,7 +47,7 @@
         self._holder = holder
         self._table = table
         self._ledger = ledger
-        self._reach = reach
+        self._reachability = reach
         self._observations = observations
         self._spillover = spillover
         self._generator = generator
@@ -207,11 +207,15 @@
     ) -> set[str]:
         """List zones that are probably unreachable and not due for a probe."""
         zones = {endpoint.declaration.zone for endpoint in usable}
-        suspect = {zone for zone in zones if self._reach.is_suspect(zone, now)}
+        suspect = {
+            zone for zone in zones if self._reachability.is_suspect(zone, now)
+        }
         if not call.kind.repeatable:
             return suspect
         return {
-            zone for zone in suspect if not self._reach.take_probe(zone, now)
+            zone
+            for zone in suspect
+            if not self._reachability.take_probe(zone, now)
         }
 
     def _describe(
@@ -225,7 +229,7 @@
         # A prompt fails if any of its parts fails, so a suspect zone is probed
         # with undivided prompts only.
         may_help = not (
-            self._reach.is_suspect(zone, now)
+            self._reachability.is_suspect(zone, now)
             or self._observations.refuses_help(endpoint.name, now)
         )
         return Candidate(
--- a/src/kelproad/coordination/ingress/endpoints.py
+++ b/src/kelproad/coordination/ingress/endpoints.py
@@ -204,7 +204,7 @@
     def _publish(self) -> None:
         if self._configuration is None:
             return
-        self._table.declare(
+        self._table.replace_groups(
             _build_groups(self._configuration, self._listed.values()),
         )
 
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -34,7 +34,7 @@
 ]
 
 #: Parts of one prompt at most: an engine accepts 16 helpers.
-MOST_PARTS = 17
+MAX_PARTS = 17
 #: Share of the rest of its objective for which a prompt may be prefilled where
 #: it disrupts streams in any case: nearly all, as less time takes more engines,
 #: and each one stalls the streams that it decodes.
@@ -68,7 +68,7 @@
         ),
         key=_rank_allowance,
     )
-    for count in range(1, min(MOST_PARTS, len(ranked)) + 1):
+    for count in range(1, min(MAX_PARTS, len(ranked)) + 1):
         smallest, _ = ranked[count - 1]
         if smallest >= prefill_seconds / count:
             return [candidate for _, candidate in ranked[:count]]
@@ -99,7 +99,7 @@
     ]
     max_disrupted = requirements.prompt_tokens / TOKENS_PER_STREAM
     best: list[Candidate] = []
-    for count in range(1, min(MOST_PARTS, len(helpers)) + 1):
+    for count in range(1, min(MAX_PARTS, len(helpers)) + 1):
         part = prefill_seconds / count
         chosen = heapq.nsmallest(
             count,
@@ -240,7 +240,7 @@
         ),
     )
     shares: list[tuple[Candidate, int]] = []
-    for candidate in ranked[: MOST_PARTS - 1]:
+    for candidate in ranked[: MAX_PARTS - 1]:
         free = measure_free_memory(candidate, profile) - SPARE_TOKENS
         if free > SPARE_TOKENS:
             shares.append((candidate, min(free, missing)))
@@ -264,7 +264,7 @@
     NoPlacementError
         When they could not even with all their memory free.
     """
-    engines = min(MOST_PARTS, len(candidates))
+    engines = min(MAX_PARTS, len(candidates))
     total = engines * (profile.memory_tokens - SPARE_TOKENS)
     if requirements.memory_tokens > max(total, profile.memory_tokens):
         raise NoPlacementError(
--- a/src/kelproad/coordination/loading.py
+++ b/src/kelproad/coordination/loading.py
@@ -7,7 +7,12 @@
 from ..protocol.files import parse_file
 from ..protocol.platform import PlatformClient
 from ..protocol.store import StoreError, StoreErrorKind
-from ..state.configuration import AppliedFile, PendingFile, Snapshot, extend
+from ..state.configuration import (
+    AppliedFile,
+    PendingFile,
+    Snapshot,
+    extend_snapshot,
+)
 from ..state.declarations import FileContent
 from ..state.problems import Problem
 from .history import (
@@ -47,7 +52,7 @@
     offered = await _fetch_files(platform, seen)
     if isinstance(offered, Failure):
         return offered
-    base = extend(Snapshot.empty(), offered.unwrap(), revision)
+    base = extend_snapshot(Snapshot.empty(), offered.unwrap(), revision)
     return await read_changes(platform, base)
 
 
@@ -81,7 +86,7 @@
     newest = {**pending_rows, **{row.name: row for row in rows}}
     offered = await _fetch_files(platform, list(newest.values()))
     revision = rows[-1].revision if rows else base.revision
-    return offered.map(lambda files: extend(base, files, revision))
+    return offered.map(lambda files: extend_snapshot(base, files, revision))
 
 
 async def build_file(
--- a/src/kelproad/state/configuration.py
+++ b/src/kelproad/state/configuration.py
@@ -24,7 +24,7 @@
     'PendingFile',
     'Snapshot',
     'SnapshotHolder',
-    'extend',
+    'extend_snapshot',
 ]
 
 
@@ -161,7 +161,7 @@
         ]
 
 
-def extend(
+def extend_snapshot(
     base: Snapshot,
     offered: list[AppliedFile | PendingFile],
     revision: int,
--- a/src/kelproad/state/endpoints.py
+++ b/src/kelproad/state/endpoints.py
@@ -215,15 +215,15 @@
         self.first_token_ratios = [LearnedRate() for _ in LengthClass]
         self._contention: dict[LengthClass, Contention] = {}
 
-    def follow(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Add, update and remove endpoints as a new snapshot declares.
 
         Counts of work in flight survive a changed declaration, because the
         work goes on.
         """
-        self.declare(snapshot.groups.values())
+        self.replace_groups(snapshot.groups.values())
 
-    def declare(self, groups: Iterable[EndpointGroup]) -> None:
+    def replace_groups(self, groups: Iterable[EndpointGroup]) -> None:
         """Set the endpoints to exactly those of the groups."""
         kept: dict[str, Endpoint] = {}
         self._by_group = {}
--- a/tests/ingress/test_misdirected.py
+++ b/tests/ingress/test_misdirected.py
@@ -181,7 +181,7 @@
     instance: Instance,
 ) -> None:
     """A stream resumed with helpers behind a cut was refused and broken off."""
-    instance.chooser._reach.record_peer('a', NOW + SOON)
+    instance.chooser._reachability.record_peer('a', NOW + SOON)
     later = NOW + SOON + 2 * SILENT_SECONDS
     used = instance.table.in_group('book')
     described = [
--- a/tests/ingress/test_placing.py
+++ b/tests/ingress/test_placing.py
@@ -7,7 +7,7 @@
 import pytest
 
 from kelproad.coordination.ingress.parts import (
-    MOST_PARTS,
+    MAX_PARTS,
     SPARE_TOKENS,
     TOKENS_PER_STREAM,
 )
@@ -144,7 +144,7 @@
     assert (
         placement.part_seconds + writing <= PROFILE.stall_limits.gap_sensitive
     )
-    assert len(placement.helpers) < MOST_PARTS
+    assert len(placement.helpers) < MAX_PARTS
 
 
 def test_streams_of_long_prompts_bear_longer_parts() -> None:
--- a/tests/ingress/test_spillover.py
+++ b/tests/ingress/test_spillover.py
@@ -49,7 +49,7 @@
             for zone in 'ab'
         ]
         group = EndpointGroup('writer', EndpointKind.ENGINE, declarations)
-        self.table.declare([group])
+        self.table.replace_groups([group])
         self.ledger = WorkLedger()
         self.observations = EngineObservations()
         self.peers = register('edge-b', 'zone-b')
@@ -193,7 +193,7 @@
             for name, zone in ENGINES.items()
         ]
         group = EndpointGroup('writer', EndpointKind.ENGINE, declarations)
-        self.table.declare([group])
+        self.table.replace_groups([group])
         holder = ConfigurationHolder()
         holder.current = types.SimpleNamespace(
             find_profile=lambda _service: PROFILE,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -166,7 +166,7 @@
     rates = [120, 120, 120, 120]
     site.run(5, rates)
     site.run(SUSPECT_AFTER + 2, rates, {0, 1, 2})
-    parts = [each._parts['w'] for each in site.each]
+    parts = [each._shares['w'] for each in site.each]
     assert parts[3] == pytest.approx(0.25, abs=0.03)
     assert sum(parts[:3]) == pytest.approx(1, abs=0.03)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -110,7 +110,7 @@
     content = FileContent('file', endpoint_groups=[group])
     applied = AppliedFile('file', 1, 1, 'digest', '', content)
     table = EndpointTable()
-    table.follow(Snapshot.from_files(1, {'file': applied}))
+    table.apply_snapshot(Snapshot.from_files(1, {'file': applied}))
     return table
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -404,9 +404,9 @@
     await asyncio.sleep(0.4)
     lost_at = lease._now()
     fleet.bench.standin.faults = Faults(late_writes=1, lateness=0.1)
-    await lease.keep()
+    await lease.acquire_or_renew()
     await asyncio.sleep(0.3)
-    await lease.keep()
+    await lease.acquire_or_renew()
     assert lease.is_held
     assert lease._valid_until <= lost_at + LEASE + 0.05
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -62,7 +62,7 @@
         applied = AppliedFile('all', 1, 1, '', '', content)
         self.snapshot = Snapshot.from_files(1, {'all': applied})
         self.table = EndpointTable()
-        self.table.follow(self.snapshot)
+        self.table.apply_snapshot(self.snapshot)
         self.random = random.Random(7)
         for endpoint in self.table.all().values():
             self.report(endpoint, 0, NOW - 0.1)
