--- a/src/kelproad/coordination/ingress/assembly.py
+++ b/src/kelproad/coordination/ingress/assembly.py
@@ -57,7 +57,7 @@
     holder: ConfigurationHolder
     table: EndpointTable
     ledger: WorkLedger
-    reach: ZoneReachability
+    reachability: ZoneReachability
     observations: EngineObservations
     drain: Drain
     counters: Counters
@@ -84,7 +84,7 @@
         """Build the components; calls to endpoints use the session."""
         orders = shared.dialect.open_orders(session)
         memory = MemoryReserver(orders, shared.read_bounds)
-        watch = EngineSpeedMonitor(
+        speed_monitor = EngineSpeedMonitor(
             shared.instance,
             shared.holder,
             shared.ledger,
@@ -110,7 +110,7 @@
                 exchange,
                 EndpointClient(session, shared.dialect),
                 memory,
-                watch,
+                speed_monitor,
                 stop_guard,
             ),
             shared.counters,
@@ -123,7 +123,7 @@
     exchange: WorkExchange,
     client: EndpointClient,
     memory: MemoryReserver,
-    watch: EngineSpeedMonitor,
+    speed_monitor: EngineSpeedMonitor,
     stop_guard: StopGuard,
 ) -> Dispatcher:
     retries = RetryBudgets(
@@ -134,7 +134,7 @@
         shared.zone,
         shared.queries,
         exchange.peers,
-        shared.reach,
+        shared.reachability,
         shared.ledger,
         shared.observations,
         shared.generator,
@@ -144,19 +144,19 @@
         shared.holder,
         shared.table,
         shared.ledger,
-        shared.reach,
+        shared.reachability,
         shared.observations,
         spillover,
         shared.generator,
     )
-    sender = Sender(client, memory, shared.ledger, retries, watch)
+    sender = Sender(client, memory, shared.ledger, retries, speed_monitor)
     return Dispatcher(
         chooser,
         sender,
         AttemptEvaluator(
             shared.table,
             retries,
-            shared.reach,
+            shared.reachability,
             shared.observations,
             shared.counters,
         ),
--- a/src/kelproad/coordination/ingress/exchange.py
+++ b/src/kelproad/coordination/ingress/exchange.py
@@ -103,7 +103,7 @@
         settings: NodeSettings,
         started_at: int,
         ledger: WorkLedger,
-        reach: ZoneReachability,
+        reachability: ZoneReachability,
         observations: EngineObservations,
         measure_age: Callable[[], float],
         read_provenance: Callable[[], Provenance | None],
@@ -119,13 +119,13 @@
         self._settings = settings
         self._started_at = started_at
         self._ledger = ledger
-        self._reach = reach
+        self._reachability = reachability
         self._observations = observations
         self._measure_age = measure_age
         self._read_provenance = read_provenance
         self._find_zone = find_zone
         self._socket = DatagramSocket(self.receive)
-        self.peers = PeerRegister(settings, reach)
+        self.peers = PeerRegister(settings, reachability)
         self._sequence = 0
         self._local_report = _LastReport()
         self._remote_report = _LastReport()
@@ -169,7 +169,7 @@
         now = monotonic()
         if not self.peers.accept(update, now):
             return
-        self._reach.record_peer(update.zone, now)
+        self._reachability.record_peer(update.zone, now)
         if update.leaving:
             self._ledger.forget_peer(update.instance)
             return
--- a/src/kelproad/coordination/ingress/node.py
+++ b/src/kelproad/coordination/ingress/node.py
@@ -72,26 +72,26 @@
         self._holder = ConfigurationHolder()
         self._table = EndpointTable()
         self._ledger = WorkLedger()
-        self._reach = ZoneReachability()
+        self._reachability = ZoneReachability()
         self._observations = EngineObservations()
         self._sessions: list[aiohttp.ClientSession] = []
         self._drain = Drain(
-            lambda: self._path.handler.unfinished,
+            lambda: self._pipeline.handler.unfinished,
             lambda: plan_stop(self._read_bounds().stop_grace),
         )
 
     async def on_first_start(self) -> None:
         """Build the components, start them, and listen last of all."""
-        store = self._open_store(self._open_kept_session(), self._counters)
+        store = self._open_store(self._open_pooled_session(), self._counters)
         self._peering = Peering(
             self._settings,
             store,
             self._holder,
             self._table,
             self._ledger,
-            self._reach,
+            self._reachability,
             self._observations,
-            self._open_kept_session(),
+            self._open_pooled_session(),
             self._counters,
             self._generator,
         )
@@ -103,7 +103,7 @@
             self._exchange,
             self._generator,
         )
-        self._path = self._create_call_path()
+        self._pipeline = self._create_pipeline()
         for service in (
             *self._peering.list_services(),
             roster,
@@ -149,7 +149,7 @@
         record(
             _logger,
             'instance_stopping',
-            unfinished=self._path.handler.unfinished,
+            unfinished=self._pipeline.handler.unfinished,
         )
         closing = asyncio.create_task(self._close_idle())
         await self._drain.finish()
@@ -158,9 +158,9 @@
             self._drain.bound_shutdown_step(_ANSWER_SECONDS)
         )
         # Answers that callers read slowly are cut off when servers close.
-        left = max(interrupted, self._path.handler.unfinished)
+        left = max(interrupted, self._pipeline.handler.unfinished)
         closing.cancel()
-        await self._path.memory.finish(
+        await self._pipeline.memory.finish(
             self._drain.bound_shutdown_step(_RELEASE_SECONDS),
         )
         self._record_stop('instance_stopped', unfinished=left)
@@ -168,7 +168,7 @@
 
     # Composition
 
-    def _create_call_path(self) -> CallPipeline:
+    def _create_pipeline(self) -> CallPipeline:
         shared = SharedState(
             self._settings.instance,
             self._settings.zone,
@@ -176,7 +176,7 @@
             self._holder,
             self._table,
             self._ledger,
-            self._reach,
+            self._reachability,
             self._observations,
             self._drain,
             self._counters,
@@ -192,22 +192,22 @@
         )
 
     async def _serve(self) -> None:
-        surfaces = NodeServers(
+        servers = NodeServers(
             self._settings,
             self._dialect,
-            self._path.handler.answer,
+            self._pipeline.handler.answer,
             self._explain_unready,
             self._drain,
             self._counters,
             self._describe,
             self._tables.list_changes_for_peer,
         )
-        self._caller_server = surfaces.create_caller_server()
+        self._caller_server = servers.create_caller_server()
         for server in (
             self._caller_server,
-            surfaces.create_peer_server(),
-            surfaces.create_ready_server(),
-            surfaces.create_metrics_server(),
+            servers.create_peer_server(),
+            servers.create_ready_server(),
+            servers.create_metrics_server(),
         ):
             await self.add_runtime_dependency(server)
 
@@ -219,7 +219,7 @@
         self._sessions.append(session)
         return session
 
-    def _open_kept_session(self) -> aiohttp.ClientSession:
+    def _open_pooled_session(self) -> aiohttp.ClientSession:
         session = create_session(self._settings.caller_address)
         self._sessions.append(session)
         return session
@@ -282,7 +282,7 @@
             'age': self._tables.configuration.measure_age(),
             'endpoint_age': self._tables.endpoints.measure_age(),
             'live_instances': self._exchange.peers.count_live(now),
-            'unfinished': self._path.handler.unfinished,
+            'unfinished': self._pipeline.handler.unfinished,
             'own_work': describe_work(self._ledger),
             'endpoints': describe_endpoints(self._table, now),
         }
--- a/src/kelproad/coordination/ingress/peering.py
+++ b/src/kelproad/coordination/ingress/peering.py
@@ -51,7 +51,7 @@
         holder: ConfigurationHolder,
         table: EndpointTable,
         ledger: WorkLedger,
-        reach: ZoneReachability,
+        reachability: ZoneReachability,
         observations: EngineObservations,
         session: aiohttp.ClientSession,
         counters: Counters,
@@ -69,7 +69,7 @@
         self._counters = counters
         self.queries = PeerQueries(settings, self._answer)
         self._probe = TableProbe(self.queries)
-        self._readers = ReaderSelector(
+        self._selector = ReaderSelector(
             # The exchange is built last, as it reports on the tables.
             lambda: self.exchange.describe_self(),
             lambda now: self.exchange.peers.list_live(now),
@@ -87,7 +87,7 @@
             # Distinguishes this incarnation of the process from earlier ones.
             time.time_ns(),
             ledger,
-            reach,
+            reachability,
             observations,
             self.tables.configuration.measure_age,
             lambda: self.tables.provenance,
@@ -108,7 +108,7 @@
         relay = TableRelay(
             name,
             self._settings.zone,
-            self._readers,
+            self._selector,
             self._probe.query,
             self._session,
             self._settings.peer_port,
@@ -116,7 +116,7 @@
         )
         return PeerTable(
             relay.query,
-            lambda: self._readers.measure_backoff(monotonic()),
+            lambda: self._selector.measure_backoff(monotonic()),
         )
 
     def _answer(self, query: Query) -> Reply:
--- a/src/kelproad/coordination/ingress/peers.py
+++ b/src/kelproad/coordination/ingress/peers.py
@@ -58,10 +58,12 @@
 class PeerRegister:
     """The other instances, by name."""
 
-    def __init__(self, settings: NodeSettings, reach: ZoneReachability) -> None:
+    def __init__(
+        self, settings: NodeSettings, reachability: ZoneReachability
+    ) -> None:
         """Register the peers of an instance."""
         self._settings = settings
-        self._reach = reach
+        self._reachability = reachability
         self._peers: dict[str, Peer] = {}
         #: Peers by zone; ``None`` after one was added, dropped or changed zone.
         self._by_zone: dict[str, list[Peer]] | None = None
@@ -198,7 +200,7 @@
         reachable = sum(
             len(members)
             for zone, members in remote.items()
-            if self._reach.has_live_instance(zone, now)
+            if self._reachability.has_live_instance(zone, now)
         )
         return 1 + live + reachable
 
@@ -239,5 +241,5 @@
         """Return whether all other zones have fallen silent."""
         others = {peer.zone for peer in received} - {'', self._settings.zone}
         return bool(others) and all(
-            self._reach.is_suspect(zone, now) for zone in others
+            self._reachability.is_suspect(zone, now) for zone in others
         )
--- a/src/kelproad/coordination/ingress/relaying.py
+++ b/src/kelproad/coordination/ingress/relaying.py
@@ -50,8 +50,9 @@
 class _TableReply(msgspec.Struct, array_like=True):
     """A state of a table, as sent to a peer.
 
-    ``age`` is the time in seconds since the sender's own read, ``back_for``
-    that since the store recovered there, ``None`` when it never failed.
+    ``age`` is the time in seconds since the sender's own read,
+    ``recovered_for`` that since the store recovered there, ``None`` when it
+    never failed.
     """
 
     version: int
@@ -76,7 +77,7 @@
 
     _table: str
     _zone: str
-    _readers: ReaderSelector
+    _selector: ReaderSelector
     _probe: Callable[[Reader], Awaitable[Freshness | None]]
     _session: aiohttp.ClientSession
     _port: int
@@ -90,7 +91,7 @@
         TableState | None
             Nothing when no other instance could answer with fresh data.
         """
-        reader = self._readers.choose(monotonic())
+        reader = self._selector.choose(monotonic())
         if reader is None:
             return None
         replied = await self._query(reader, after)
@@ -128,11 +129,11 @@
         queried_at = read_boottime()
         freshness = await self._probe(reader)
         if freshness is None:
-            self._readers.avoid(reader, monotonic())
+            self._selector.avoid(reader, monotonic())
             return Failure('no answer')
         table = freshness.tables.get(self._table)
         if table is None:
-            self._readers.record_refusal(reader, monotonic())
+            self._selector.record_refusal(reader, monotonic())
             return Failure('the table is not relayed by this instance')
         if after is None or after < table.changed_at:
             return await self._fetch(reader, after)
@@ -166,7 +167,7 @@
         )
         replied = answered.alt(lambda failure: failure.reason).bind(_read_reply)
         if isinstance(replied, Failure):
-            self._readers.avoid(reader, monotonic())
+            self._selector.avoid(reader, monotonic())
         return replied
 
 
