--- a/src/kelproad/coordination/ingress/following.py
+++ b/src/kelproad/coordination/ingress/following.py
@@ -1,9 +1,9 @@
 """Following a table of the store, through outages and lost history.
 
 A follower reads the table once, then waits for changes.  Each valid answer
-also shows how fresh the table is here, which permits to trust an API key or to
-remove an endpoint for good.  Another instance may be queried in place of the
-store; when none can answer, the store is.
+also shows how fresh the table is here, on which it depends whether an API key
+may be trusted, or an endpoint removed for good.  Another instance may be
+queried in place of the store; when none can answer, the store is.
 """
 
 import asyncio
@@ -79,9 +79,9 @@
     ----------
     confirmed_at
         Boot time at which the call was sent that last got a valid answer:
-        everything that was true until then is known here.  The monotonic clock
-        won't do, as it stands still while a machine is suspended, and old data
-        would then pass for fresh.
+        all changes up to then are known here.  The monotonic clock won't do, as
+        it stands still while a machine is suspended, and old data would then
+        pass for fresh.
     recovered_at
         Monotonic time of the first valid answer after a failure.
     provenance
@@ -142,7 +142,7 @@
 
     @property
     def failing(self) -> bool:
-        """Whether the last call to the store failed."""
+        """Whether the store has failed since the last valid answer."""
         return bool(self._failures)
 
     @Service.task
--- a/src/kelproad/coordination/ingress/relaying.py
+++ b/src/kelproad/coordination/ingress/relaying.py
@@ -134,7 +134,7 @@
         table = freshness.tables.get(self._table)
         if table is None:
             self._selector.record_refusal(reader, monotonic())
-            return Failure('the table is not relayed by this instance')
+            return Failure('the reader does not relay this table')
         if after is None or after < table.changed_at:
             return await self._fetch(reader, after)
         return Success(
--- a/src/kelproad/coordination/ingress/rostering.py
+++ b/src/kelproad/coordination/ingress/rostering.py
@@ -27,8 +27,8 @@
 _logger = logging.getLogger(__name__)
 #: Bounds of the seconds between two reads of the rows.  Starting instances
 #: send a datagram to all others, so a read only serves those that it did not
-#: reach.  The bounds are for a site of up to 8 instances; a larger one reads
-#: more rarely, so that the calls to the store don't grow with it.
+#: reach.  The bounds are for a site of up to ``_SMALL_SITE`` instances; a
+#: larger one reads more rarely, so that calls to the store don't grow with it.
 _READ_PERIODS = (8.0, 12.0)
 _SMALL_SITE = 8
 _RETRY_PERIOD = 0.5
--- a/src/kelproad/coordination/ingress/stopping.py
+++ b/src/kelproad/coordination/ingress/stopping.py
@@ -98,8 +98,8 @@
         left = self._drain.seconds_until_end()
         if math.isinf(left):
             return True
-        is_late = self._drain.has_grace_ended
-        if is_late and route.kind.streams:
+        has_grace_ended = self._drain.has_grace_ended
+        if has_grace_ended and route.kind.streams:
             needed = deadline - monotonic()
         else:
             needed = predict_seconds(head, route, profile)
@@ -108,7 +108,7 @@
             'weighed_while_stopping',
             request=head.request_id,
             route=route.name,
-            late=is_late,
+            late=has_grace_ended,
             needed=round(needed, 3),
             left=round(left, 3),
             taken=needed <= left,
