--- a/src/kelproad/coordination/__init__.py
+++ b/src/kelproad/coordination/__init__.py
@@ -8,7 +8,7 @@
 - the process: ``instance`` creates the components, ``sides`` the listeners,
   ``drain`` is the planned stop, ``dump`` returns the state for operators
 - the path of a request: ``entry``, ``reception``, ``admission``,
-  ``limits``, ``accounts``, then ``completions`` or ``plain``, ``outcomes``,
+  ``limits``, ``accounting``, then ``completions`` or ``plain``, ``outcomes``,
   ``sending``
 - answers from engines: ``attempts``, ``relays``, ``answers``, ``delivery``,
   ``segments``, ``retries``
@@ -19,7 +19,7 @@
 - memory of engines: ``reclamation``, ``orphans``; ``leaving`` for endpoints
   that are being removed
 - other instances: ``membership``, ``gossip``, ``watch``
-- configuration: ``acceptance``, ``races``, ``history``, ``loading``,
+- configuration: ``acceptance``, ``conflicts``, ``history``, ``loading``,
   ``configuration``, ``lag``; ``operators`` and ``fileapi``
   are the operators' API
 - orders to engines: ``orders``, ``leases``, ``rollout``, ``failures``
--- a/src/kelproad/coordination/attempts.py
+++ b/src/kelproad/coordination/attempts.py
@@ -266,7 +266,7 @@
         relay: Relay,
         outcome: Result[None, Refusal] | None,
     ) -> None:
-        """Update the accounts after an attempt, however it ended."""
+        """Update the endpoint's counts after an attempt, however it ended."""
         endpoint = placement.endpoint
         endpoint.own_requests -= 1
         if not placement.first_token:
--- a/src/kelproad/coordination/completions.py
+++ b/src/kelproad/coordination/completions.py
@@ -50,12 +50,12 @@
     def __init__(
         self,
         attempts: Attempts,
-        accounts: RequestAccounting,
+        accounting: RequestAccounting,
         claims: Claims,
     ) -> None:
-        """Answer by attempts, recorded in the accounts of the instance."""
+        """Answer by attempts, recorded in the instance's accounting."""
         self._attempts = attempts
-        self._accounts = accounts
+        self._accounting = accounting
         self._claims = claims
         self._buffers = create_answer_buffers()
 
@@ -88,7 +88,7 @@
                 self._claims, claim, request, Success(response)
             )
         else:
-            refusal = self._accounts.count_refusal(outcome.failure())
+            refusal = self._accounting.count_refusal(outcome.failure())
             await settle_outcome(self._claims, claim, request, outcome)
             response = await send_bounded(
                 arrival.call,
@@ -125,12 +125,12 @@
         body: CompletionBody,
         delivery: StreamDelivery | BufferedDelivery,
     ) -> Result[None, Refusal]:
-        decision = self._accounts.begin(request)
+        decision = self._accounting.begin(request)
         outcome: Result[None, Refusal] = Failure(refuse_past_deadline(request))
         if request.remaining(monotonic()) <= 0:
             # The process was paused after the claim until past the deadline.
             # The caller has given up, so the work must not begin.
-            self._accounts.end(request, decision, outcome)
+            self._accounting.end(request, decision, outcome)
             return outcome
         try:
             async with within(request.deadline + _INTERRUPT_MARGIN):
@@ -146,7 +146,7 @@
         except CallerDisconnectedError:
             outcome = Failure(refuse_disconnected())
         finally:
-            self._accounts.end(request, decision, outcome)
+            self._accounting.end(request, decision, outcome)
         return outcome.alt(request.complete_refusal).alt(
             lambda refusal: self._add_retry_after(request, refusal),
         )
--- a/src/kelproad/coordination/entry.py
+++ b/src/kelproad/coordination/entry.py
@@ -67,7 +67,7 @@
         identity: Identity,
         holder: SnapshotHolder,
         follower: ConfigurationFollower,
-        accounts: RequestAccounting,
+        accounting: RequestAccounting,
         completions: Completions,
         plain_calls: PlainCalls,
         key_claims: Claims,
@@ -78,7 +78,7 @@
         super().__init__()
         self._identity = identity
         self._admitter = Admitter(holder, follower, limits, drain)
-        self._accounts = accounts
+        self._accounting = accounting
         self._completions = completions
         self._plain_calls = plain_calls
         self._claims = key_claims
@@ -154,7 +154,7 @@
     async def _list_models(self, call: Call) -> web.StreamResponse:
         found = await self._admitter.list_models(call)
         if isinstance(found, Failure):
-            return self._accounts.refuse(found.failure(), call.request_id)
+            return self._accounting.refuse(found.failure(), call.request_id)
         models = [
             {'id': model, 'object': 'model', 'owned_by': service.name}
             for model, service in found.unwrap().items()
@@ -164,7 +164,7 @@
     async def _answer_completion(self, call: Call) -> web.StreamResponse:
         received = await self._admitter.receive(call, text=True)
         if isinstance(received, Failure):
-            return self._accounts.refuse(received.failure(), call.request_id)
+            return self._accounting.refuse(received.failure(), call.request_id)
         arrival = received.unwrap()
         parsed = CompletionBody.from_bytes(
             arrival.body,
@@ -177,7 +177,7 @@
             ),
         )
         if isinstance(admitted, Failure):
-            return self._accounts.refuse(admitted.failure(), call.request_id)
+            return self._accounting.refuse(admitted.failure(), call.request_id)
         request = admitted.unwrap()
         if request.idempotency_key:
             return await self._finish_detached(
@@ -188,11 +188,11 @@
     async def _answer_plain(self, call: Call) -> web.StreamResponse:
         received = await self._admitter.receive(call, text=False)
         if isinstance(received, Failure):
-            return self._accounts.refuse(received.failure(), call.request_id)
+            return self._accounting.refuse(received.failure(), call.request_id)
         arrival = received.unwrap()
         admitted = await self._admitter.admit(arrival, admit_plain)
         if isinstance(admitted, Failure):
-            return self._accounts.refuse(admitted.failure(), call.request_id)
+            return self._accounting.refuse(admitted.failure(), call.request_id)
         request = admitted.unwrap()
         if request.idempotency_key:
             return await self._finish_detached(
@@ -222,7 +222,7 @@
             return abort_answer(arrival)
         if claim is not None and not claim.settled:
             await settle_outcome(self._claims, claim, request, Failure(refusal))
-        return self._accounts.refuse(refusal, request.request_id)
+        return self._accounting.refuse(refusal, request.request_id)
 
     # Claimed requests
 
@@ -259,11 +259,13 @@
             request.deadline,
         )
         if isinstance(acquired, Failure):
-            self._accounts.record_unstarted(request, acquired)
-            return self._accounts.refuse(acquired.failure(), request.request_id)
+            self._accounting.record_unstarted(request, acquired)
+            return self._accounting.refuse(
+                acquired.failure(), request.request_id
+            )
         claim = acquired.unwrap()
         if isinstance(claim, RecordedAnswer):
-            self._accounts.record_unstarted(request, acquired)
+            self._accounting.record_unstarted(request, acquired)
             return repeat_answer(claim, request.request_id)
         try:
             if body is None:
@@ -282,7 +284,7 @@
         request: Request,
         claim: Claim | None = None,
     ) -> web.StreamResponse:
-        decision = self._accounts.begin(request)
+        decision = self._accounting.begin(request)
         http_request = arrival.http_request
         call = PlainCall(
             method=http_request.method,
@@ -313,11 +315,13 @@
                 refuse_interrupted(request.phase is not Phase.ADMITTED)
             )
         finally:
-            self._accounts.end(request, decision, outcome)
+            self._accounting.end(request, decision, outcome)
         outcome = outcome.alt(request.complete_refusal)
         await settle_outcome(self._claims, claim, request, outcome)
         if isinstance(outcome, Failure):
-            return self._accounts.refuse(outcome.failure(), request.request_id)
+            return self._accounting.refuse(
+                outcome.failure(), request.request_id
+            )
         response = outcome.unwrap()
         response.headers[callers.REQUEST_ID_HEADER] = request.request_id
         return response
--- a/src/kelproad/coordination/relays.py
+++ b/src/kelproad/coordination/relays.py
@@ -183,8 +183,8 @@
     async def _resume(self) -> Result[EngineStream, Refusal]:
         """Resume the stream, with retries during a short outage."""
         self.sequence.restart()
-        movable = self._answer.can_fail_over
-        seconds = _RESUME_SECONDS if movable else _LAST_RESUME_SECONDS
+        can_fail_over = self._answer.can_fail_over
+        seconds = _RESUME_SECONDS if can_fail_over else _LAST_RESUME_SECONDS
         limit = min(monotonic() + seconds, self._attempt.deadline)
         while True:
             resumed = await self._engines.resume_stream(
@@ -196,7 +196,7 @@
             if isinstance(resumed, Success):
                 return self._accept(resumed.unwrap())
             gone = resumed.failure().code is RefusalCode.NOT_FOUND
-            if gone or movable or monotonic() + _RESUME_PERIOD >= limit:
+            if gone or can_fail_over or monotonic() + _RESUME_PERIOD >= limit:
                 return resumed
             await asyncio.sleep(_RESUME_PERIOD)
 
