--- a/src/kelproad/coordination/ingress/choosing.py
+++ b/src/kelproad/coordination/ingress/choosing.py
@@ -47,7 +47,7 @@
         self._holder = holder
         self._table = table
         self._ledger = ledger
-        self._reach = reach
+        self._reachability = reach
         self._observations = observations
         self._spillover = spillover
         self._generator = generator
@@ -114,14 +114,16 @@
         if profile is None:
             work_seconds = call.route.objective * _PLAIN_WORK_SHARE
             return choose_plain(candidates, self._generator, work_seconds)
-        need = CallRequirements(
+        requirements = CallRequirements(
             prompt_tokens=call.head.prompt_tokens,
             memory_tokens=call.head.prompt_tokens + call.head.answer_tokens,
             objective=call.route.objective,
             waited=now - call.arrived,
             silence_timeout=call.route.silence_timeout,
         )
-        placement = choose_engines(candidates, need, profile, self._generator)
+        placement = choose_engines(
+            candidates, requirements, profile, self._generator
+        )
         gap_tolerant = profile.stall_limits.is_gap_tolerant(
             call.route.gap_objective
         )
@@ -138,8 +140,8 @@
                 monotonic(),
                 healthy_only=True,
             )
-        except NoPlacementError as unplaced:
-            _logger.debug('not placed in the local zone: %s', unplaced.reason)
+        except NoPlacementError as error:
+            _logger.debug('not placed in the local zone: %s', error.reason)
             return None
 
     def _exclude_unknown_zones(
@@ -205,11 +207,15 @@
     ) -> set[str]:
         """List zones that are probably unreachable and not due for a probe."""
         zones = {endpoint.declaration.zone for endpoint in usable}
-        suspect = {zone for zone in zones if self._reach.is_suspect(zone, now)}
+        suspect = {
+            zone for zone in zones if self._reachability.is_suspect(zone, now)
+        }
         if not call.kind.repeatable:
             return suspect
         return {
-            zone for zone in suspect if not self._reach.take_probe(zone, now)
+            zone
+            for zone in suspect
+            if not self._reachability.take_probe(zone, now)
         }
 
     def _describe(
@@ -223,7 +229,7 @@
         # A prompt fails if any of its parts fails, so a suspect zone is probed
         # with undivided prompts only.
         may_help = not (
-            self._reach.is_suspect(zone, now)
+            self._reachability.is_suspect(zone, now)
             or self._observations.refuses_help(endpoint.name, now)
         )
         return Candidate(
--- a/src/kelproad/coordination/ingress/parts.py
+++ b/src/kelproad/coordination/ingress/parts.py
@@ -34,7 +34,7 @@
 ]
 
 #: Parts of one prompt at most: an engine accepts 16 helpers.
-MOST_PARTS = 17
+MAX_PARTS = 17
 #: Share of the rest of its objective for which a prompt may be prefilled where
 #: it disrupts streams in any case: nearly all, as less time takes more engines,
 #: and each one stalls the streams that it decodes.
@@ -50,23 +50,25 @@
 
 def choose_non_disruptive(
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     share: float,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose the fewest engines that prefill without disruption, or none."""
-    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
+    prefill_seconds = profile.predict_prefill(requirements.prompt_tokens)
     ranked = sorted(
         (
             (
-                measure_prefill_allowance(candidate, need, share, profile),
+                measure_prefill_allowance(
+                    candidate, requirements, share, profile
+                ),
                 candidate,
             )
             for candidate in helpers
         ),
         key=_rank_allowance,
     )
-    for count in range(1, min(MOST_PARTS, len(ranked)) + 1):
+    for count in range(1, min(MAX_PARTS, len(ranked)) + 1):
         smallest, _ = ranked[count - 1]
         if smallest >= prefill_seconds / count:
             return [candidate for _, candidate in ranked[:count]]
@@ -81,7 +83,7 @@
 
 def choose_least_disruptive(
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> list[Candidate]:
     """Choose the engines that meet the objective with the least disruption.
@@ -90,14 +92,14 @@
     meet the objective, or where more streams would stall too long than the
     prompt justifies.
     """
-    prefill_seconds = profile.predict_prefill(need.prompt_tokens)
-    longest = need.left * FORCED_SHARE
+    prefill_seconds = profile.predict_prefill(requirements.prompt_tokens)
+    longest = requirements.left * FORCED_SHARE
     disruptions = [
         _Disruption.from_candidate(candidate, profile) for candidate in helpers
     ]
-    max_disrupted = need.prompt_tokens / TOKENS_PER_STREAM
+    max_disrupted = requirements.prompt_tokens / TOKENS_PER_STREAM
     best: list[Candidate] = []
-    for count in range(1, min(MOST_PARTS, len(helpers)) + 1):
+    for count in range(1, min(MAX_PARTS, len(helpers)) + 1):
         part = prefill_seconds / count
         chosen = heapq.nsmallest(
             count,
@@ -171,7 +173,7 @@
     chosen: list[Candidate],
     able: list[Candidate],
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
     generator: random.Random,
 ) -> Placement:
@@ -181,17 +183,19 @@
     def score_candidate(candidate: Candidate) -> float:  # noqa: WPS430  closure
         return predict_first_token(candidate, 0, profile)
 
-    first, _ = choose_lowest_score(both or able, score_candidate, generator)
-    others = [candidate for candidate in chosen if candidate is not first]
+    primary, _ = choose_lowest_score(both or able, score_candidate, generator)
+    others = [candidate for candidate in chosen if candidate is not primary]
     if not both:
         others = others[: len(chosen) - 1]
-    shares = _distribute_memory(first, others, helpers, need, profile)
+    shares = _distribute_memory(primary, others, helpers, requirements, profile)
     # An engine that reserves memory prefills a part as well.
     holders = [share for share, _ in shares if share not in others]
     others.extend(holders)
-    part = profile.predict_prefill(need.prompt_tokens) / (len(others) + 1)
+    part = profile.predict_prefill(requirements.prompt_tokens) / (
+        len(others) + 1
+    )
     return Placement(
-        first.endpoint,
+        primary.endpoint,
         tuple(candidate.endpoint for candidate in others),
         tuple(
             MemoryShare(candidate.endpoint, tokens)
@@ -200,17 +204,17 @@
         part_seconds=part,
         predicted=max(
             predict_first_token(candidate, part, profile)
-            for candidate in (first, *others)
+            for candidate in (primary, *others)
         ),
         considered=len(able),
     )
 
 
 def _distribute_memory(
-    first: Candidate,
+    primary: Candidate,
     others: list[Candidate],
     helpers: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> list[tuple[Candidate, int]]:
     """Distribute the memory that the answering engine lacks.
@@ -223,20 +227,20 @@
     NoPlacementError
         When the engines have too little free memory at present.
     """
-    missing = need.memory_tokens - measure_free_memory(first, profile)
+    missing = requirements.memory_tokens - measure_free_memory(primary, profile)
     if missing <= 0:
         return []
     # The answering engine keeps its spare tokens as well.
     missing += SPARE_TOKENS
     ranked = sorted(
-        (candidate for candidate in helpers if candidate is not first),
+        (candidate for candidate in helpers if candidate is not primary),
         key=lambda candidate: (
             candidate not in others,
             -measure_free_memory(candidate, profile),
         ),
     )
     shares: list[tuple[Candidate, int]] = []
-    for candidate in ranked[: MOST_PARTS - 1]:
+    for candidate in ranked[: MAX_PARTS - 1]:
         free = measure_free_memory(candidate, profile) - SPARE_TOKENS
         if free > SPARE_TOKENS:
             shares.append((candidate, min(free, missing)))
@@ -244,13 +248,13 @@
         if missing <= 0:
             return shares
     raise NoPlacementError(
-        'too little free memory', worth_waiting=need.may_wait
+        'too little free memory', worth_waiting=requirements.may_wait
     )
 
 
 def require_memory(
     candidates: list[Candidate],
-    need: CallRequirements,
+    requirements: CallRequirements,
     profile: EngineProfile,
 ) -> None:
     """Check that the engines together could hold a prompt and its answer.
@@ -260,9 +264,9 @@
     NoPlacementError
         When they could not even with all their memory free.
     """
-    engines = min(MOST_PARTS, len(candidates))
+    engines = min(MAX_PARTS, len(candidates))
     total = engines * (profile.memory_tokens - SPARE_TOKENS)
-    if need.memory_tokens > max(total, profile.memory_tokens):
+    if requirements.memory_tokens > max(total, profile.memory_tokens):
         raise NoPlacementError(
             'larger than the memory of the engines', worth_waiting=False
         )
