--- a/src/kelproad/coordination/claimrows.py
+++ b/src/kelproad/coordination/claimrows.py
@@ -70,10 +70,10 @@
     return msgspec.json.decode(row.body, type=ClaimRecord)
 
 
-def is_open_row(row: Row, mine: ClaimRecord) -> bool:
+def is_open_row(row: Row, own_claim: ClaimRecord) -> bool:
     """Return whether a row is the still open claim of a writer."""
     current = decode_row(row)
-    return current.token == mine.token and current.state is ClaimState.OPEN
+    return current.token == own_claim.token and current.state is ClaimState.OPEN
 
 
 def _require(row: Row | None, row_key: str) -> Result[Row, StoreError]:
--- a/src/kelproad/coordination/claims.py
+++ b/src/kelproad/coordination/claims.py
@@ -92,7 +92,7 @@
             A claim that permits one dispatch; the recorded answer when the
             work is done; else a refusal.
         """
-        mine = ClaimRecord(
+        new_claim = ClaimRecord(
             token=uuid.uuid4().hex,
             owner=self._identity.owner,
             request_digest=request_digest,
@@ -100,7 +100,7 @@
             answer_due=time.time() + deadline - monotonic(),
         )
         limit = min(deadline, monotonic() + CLAIM_LIMIT)
-        pending = PendingClaim(f'{workspace}/{key}', mine)
+        pending = PendingClaim(f'{workspace}/{key}', new_claim)
         outcome = await self._insert(pending, limit)
         self._count(outcome)
         return outcome
@@ -168,7 +168,7 @@
         written = await self._writes.write(pending.write(), limit)
         if isinstance(written, Success):
             return Success(
-                Claim(pending.key, pending.record, pending.expect + 1)
+                Claim(pending.key, pending.record, pending.expect + 1),
             )
         pending.error = written.failure()
         match pending.error.kind:
@@ -183,7 +183,9 @@
         return self._refuse(pending)
 
     async def _resolve_conflict(
-        self, pending: PendingClaim, limit: float
+        self,
+        pending: PendingClaim,
+        limit: float,
     ) -> Acquired | None:
         """Read the row in conflict; ``None`` if its key is free again."""
         found = await read_row(self._platform, pending.key, limit)
--- a/src/kelproad/coordination/gossip.py
+++ b/src/kelproad/coordination/gossip.py
@@ -77,12 +77,12 @@
 
     def __init__(
         self,
-        place: Location,
+        location: Location,
         members: MemberTable,
         generator: random.Random,
     ) -> None:
         """Send a table's records; ``generator`` makes the random choices."""
-        self._place = place
+        self._location = location
         self._members = members
         self._generator = generator
         self._round = 0
@@ -182,13 +182,13 @@
 
     def _list_ring(self, now: float) -> list[tuple[str, str]]:
         """List the zone's live instances, as (name, address) in ring order."""
-        place = self._place
+        location = self._location
         names = {
             member.name: member.peer_address
             for member in self._members.live(now)
-            if member.zone == place.zone
+            if member.zone == location.zone
         }
-        names[place.name] = place.address
+        names[location.name] = location.address
         return sorted(names.items(), key=_hash_name)
 
     def _choose_in_zone(self, now: float) -> list[str]:
@@ -196,7 +196,7 @@
         strides = _list_strides(len(ring))
         if not strides:
             return []
-        at = [name for name, _ in ring].index(self._place.name)
+        at = [name for name, _ in ring].index(self._location.name)
         self._ring_distances = {
             name: (at - position) % len(ring)
             for position, (name, _) in enumerate(ring)
@@ -214,25 +214,25 @@
         """Choose a peer in each zone and region this instance bridges to."""
         if self._round % _BRIDGE_INTERVAL:
             return []
-        place = self._place
+        location = self._location
         live = self._members.live(now)
         by_side: dict[str, list[Member]] = {}
         for member in live:
-            is_other_region = member.region != place.region
+            is_other_region = member.region != location.region
             side = f'region {member.region}' if is_other_region else member.zone
-            if side != place.zone:
+            if side != location.zone:
                 by_side.setdefault(side, []).append(member)
-        local_zone = frozenset((place.name,)) | {
-            member.name for member in live if member.zone == place.zone
+        local_zone = frozenset((location.name,)) | {
+            member.name for member in live if member.zone == location.zone
         }
-        local_region = frozenset((place.name,)) | {
-            member.name for member in live if member.region == place.region
+        local_region = frozenset((location.name,)) | {
+            member.name for member in live if member.region == location.region
         }
         chosen = []
         for side, remote in by_side.items():
             here = local_region if side.startswith('region ') else local_zone
-            if place.name in _rank_bridges(side, here):
-                chosen.append(self._choose_remote_peer(place.name, remote))
+            if location.name in _rank_bridges(side, here):
+                chosen.append(self._choose_remote_peer(location.name, remote))
         return chosen
 
     def _choose_remote_peer(self, name: str, remote: list[Member]) -> str:
@@ -255,7 +255,7 @@
             for member in self._members.known()
             if not member.left
         }
-        silent = sorted((set(listed) | lost) - live - {self._place.address})
+        silent = sorted((set(listed) | lost) - live - {self._location.address})
         probes = [self._generator.choice(silent)] if silent else []
         if suspected:
             probes.append(self._generator.choice(suspected))
@@ -280,7 +280,7 @@
             known = held.get(member.name, _HeldVersions()).order
             if not self._is_due(address, member, member.order, known):
                 continue
-            is_local = member.zone == self._place.zone
+            is_local = member.zone == self._location.zone
             group = preferred if is_local or member.left else others
             group.append(member)
         self._generator.shuffle(preferred)
@@ -309,7 +309,7 @@
                 order,
                 known,
             ):
-                is_remote = member.zone != self._place.zone
+                is_remote = member.zone != self._location.zone
                 # A peer lacks every version of an incarnation new to it.
                 since = known[-1] if order[:2] == known[:2] else 0
                 lag = order[-1] - since
@@ -334,7 +334,7 @@
 
     def _choose_interval(self, address: str, member: Member) -> int:
         """Return how many versions a peer may lag before it gets one."""
-        if member.zone != self._place.zone:
+        if member.zone != self._location.zone:
             return self._members.cross_zone_interval
         stride = self._strides.get(address, 0)
         behind = self._ring_distances.get(member.name, stride)
--- a/src/kelproad/coordination/instance.py
+++ b/src/kelproad/coordination/instance.py
@@ -167,7 +167,7 @@
             self._members,
             self._follower,
             self._platform,
-            OrderClient(self._open_session(fresh=True)),
+            OrderClient(self._open_session(single_use=True)),
             self._counters,
             self._settings.lease_seconds,
         )
@@ -219,7 +219,7 @@
             PlainCalls(
                 self._identity,
                 self._table,
-                PlainClient(self._open_session(fresh=True)),
+                PlainClient(self._open_session(single_use=True)),
                 self._counters,
                 self._generator,
             ),
@@ -249,7 +249,7 @@
         )
 
     async def _serve(self, operators: OperatorApi) -> None:
-        caller_side = CallerApi(
+        caller_api = CallerApi(
             self._entry,
             self._drain,
             self._holder,
@@ -258,14 +258,14 @@
         )
         for server in create_servers(
             self._settings,
-            caller_side,
+            caller_api,
             operators,
             self._counters,
         ):
             await self.add_runtime_dependency(server)
 
-    def _open_session(self, fresh: bool = False) -> aiohttp.ClientSession:
-        create = create_single_use_session if fresh else create_session
+    def _open_session(self, single_use: bool = False) -> aiohttp.ClientSession:
+        create = create_single_use_session if single_use else create_session
         origin = Address.from_text(self._settings.caller_address)
         session = create(origin, trace_configs=[trace_connections()])
         self._sessions.append(session)
--- a/src/kelproad/coordination/membership.py
+++ b/src/kelproad/coordination/membership.py
@@ -314,7 +314,8 @@
         now = self._clock()
         if received.order > self._local_record.order:
             self._local_record = attrs.evolve(
-                self._local_record, epoch=received.epoch + 1
+                self._local_record,
+                epoch=received.epoch + 1,
             )
             self.log.info(
                 'received a record of this instance newer than its own; '
--- a/src/kelproad/coordination/orphans.py
+++ b/src/kelproad/coordination/orphans.py
@@ -60,7 +60,8 @@
     silent_seconds
         Seconds since a record of an instance was last received.
     watched_for
-        Seconds since the watch began; used for instances not in ``silent``.
+        Seconds since the watch began; used for instances not in
+        ``silent_seconds``.
     listed
         Instances on the platform's list; ``None`` if no recent list is known.
     all_zones_live
@@ -188,7 +189,8 @@
 
 
 def find_orphan_evidence(
-    item: HeldItem, ownership: OwnershipState
+    item: HeldItem,
+    ownership: OwnershipState,
 ) -> Evidence | None:
     """Return why an item has no owner any more, or ``None`` if it may.
 
--- a/src/kelproad/coordination/rollout.py
+++ b/src/kelproad/coordination/rollout.py
@@ -77,99 +77,99 @@
     is_disruptive: bool
 
 
-def plan_orders(situation: RolloutState) -> Plan:
+def plan_orders(rollout: RolloutState) -> Plan:
     """Plan the next orders of a zone, in the order of endpoint names."""
     plan = Plan()
-    busy = _collect_busy(situation)
-    for endpoint in sorted(situation.desired):
-        state = situation.observed.get(endpoint)
+    busy = _collect_busy(rollout)
+    for endpoint in sorted(rollout.desired):
+        state = rollout.observed.get(endpoint)
         if state is None:
             plan.notes[endpoint] = 'does not answer'
             continue
-        differences = _find_differences(situation, endpoint, state)
+        differences = _find_differences(rollout, endpoint, state)
         if differences:
-            group = situation.desired[endpoint].group
+            group = rollout.desired[endpoint].group
             group_busy = busy.setdefault(group.name, set())
-            _plan_in_turn(situation, plan, endpoint, differences, group_busy)
+            _plan_in_turn(rollout, plan, endpoint, differences, group_busy)
         else:
-            _note_loading(situation, plan, endpoint)
+            _note_loading(rollout, plan, endpoint)
     return plan
 
 
 def _plan_in_turn(
-    situation: RolloutState,
+    rollout: RolloutState,
     plan: Plan,
     endpoint: str,
     differences: list[_Difference],
     busy: set[str],
 ) -> None:
-    limit = situation.desired[endpoint].group.max_loading
+    limit = rollout.desired[endpoint].group.max_loading
     if endpoint not in busy and len(busy) >= limit:
         plan.notes[endpoint] = 'waits for others to load'
-    elif _plan_endpoint(situation, plan, endpoint, differences):
+    elif _plan_endpoint(rollout, plan, endpoint, differences):
         busy.add(endpoint)
 
 
 def _plan_endpoint(
-    situation: RolloutState,
+    rollout: RolloutState,
     plan: Plan,
     endpoint: str,
     differences: list[_Difference],
 ) -> bool:
     """Plan for one engine; return whether it now counts as loading."""
-    not_before = situation.not_before.get(endpoint, situation.now)
-    if situation.now < not_before:
+    not_before = rollout.not_before.get(endpoint, rollout.now)
+    if rollout.now < not_before:
         plan.notes[endpoint] = 'waits before it loads again'
-        _keep_withheld(situation, plan, endpoint)
+        _keep_withheld(rollout, plan, endpoint)
         return False
     if any(difference.is_disruptive for difference in differences):
-        only = _find_only_ready(situation, plan, endpoint)
+        only = _find_only_ready(rollout, plan, endpoint)
         if only:
             plan.notes[endpoint] = f'is the last one ready for {only}'
             return False
-        since = situation.withheld.get(endpoint, situation.now)
+        since = rollout.withheld.get(endpoint, rollout.now)
         plan.withheld[endpoint] = since
-        running = situation.observed[endpoint].running
-        if situation.now - since < SPREAD_SECONDS or running:
+        running = rollout.observed[endpoint].running
+        if rollout.now - since < SPREAD_SECONDS or running:
             plan.notes[endpoint] = f'draining, {running} streams'
             return True
-    _keep_withheld(situation, plan, endpoint)
+    _keep_withheld(rollout, plan, endpoint)
     plan.notes[endpoint] = 'ordered'
     plan.orders += [(endpoint, difference.order) for difference in differences]
     return True
 
 
-def _keep_withheld(situation: RolloutState, plan: Plan, endpoint: str) -> None:
-    since = situation.withheld.get(endpoint)
+def _keep_withheld(rollout: RolloutState, plan: Plan, endpoint: str) -> None:
+    since = rollout.withheld.get(endpoint)
     if since is not None:
         plan.withheld[endpoint] = since
 
 
-def _collect_busy(situation: RolloutState) -> dict[str, set[str]]:
+def _collect_busy(rollout: RolloutState) -> dict[str, set[str]]:
     """Collect by group the engines that are loading or withheld."""
     busy: dict[str, set[str]] = {}
-    for endpoint, desired in situation.desired.items():
-        state = situation.observed.get(endpoint)
+    for endpoint, desired in rollout.desired.items():
+        state = rollout.observed.get(endpoint)
         is_loading = state is not None and any(
             item.phase is ModelPhase.LOADING for item in state.models
         )
-        if is_loading or endpoint in situation.withheld:
+        if is_loading or endpoint in rollout.withheld:
             busy.setdefault(desired.group.name, set()).add(endpoint)
     return busy
 
 
 def _find_differences(
-    situation: RolloutState,
+    rollout: RolloutState,
     endpoint: str,
     state: EngineState,
 ) -> list[_Difference]:
-    desired = situation.desired[endpoint]
+    desired = rollout.desired[endpoint]
     differences = []
     for wanted in desired.models:
         difference = _compare(
-            _choose_version(situation, desired, wanted),
+            _choose_version(rollout, desired, wanted),
             find_model(state, wanted.model),
-            situation.token,
+            rollout.token,
         )
         if difference is not None:
             differences.append(difference)
@@ -178,7 +178,7 @@
         if held.model not in names:
             order = Order(
                 OrderKind.UNLOAD,
-                situation.token,
+                rollout.token,
                 desired.generation,
                 held.model,
             )
@@ -186,7 +186,7 @@
     if state.role is not desired.group.role:
         order = Order(
             OrderKind.ROLE,
-            situation.token,
+            rollout.token,
             desired.generation,
             role=desired.group.role,
         )
@@ -219,7 +219,7 @@
 
 
 def _choose_version(
-    situation: RolloutState,
+    rollout: RolloutState,
     desired: DesiredState,
     wanted: DesiredModel,
 ) -> DesiredModel:
@@ -229,12 +229,12 @@
     the new one failed go back to the version that most engines have ready.
     """
     failed = FailedVersion(wanted.model, wanted.version, wanted.generation)
-    if failed not in situation.stopped:
+    if failed not in rollout.stopped:
         return wanted
     versions = [
         held.version
-        for endpoint, state in situation.observed.items()
-        if situation.desired[endpoint].group.name == desired.group.name
+        for endpoint, state in rollout.observed.items()
+        if rollout.desired[endpoint].group.name == desired.group.name
         and (held := find_model(state, wanted.model))
         and held.phase is ModelPhase.READY
         and held.version != wanted.version
@@ -246,16 +246,16 @@
 
 
 def _find_only_ready(
-    situation: RolloutState,
+    rollout: RolloutState,
     plan: Plan,
     endpoint: str,
 ) -> str:
     """Return a model that no other engine has ready, or an empty string."""
-    withheld = {*situation.withheld, *plan.withheld}
-    for wanted in situation.desired[endpoint].models:
+    withheld = {*rollout.withheld, *plan.withheld}
+    for wanted in rollout.desired[endpoint].models:
         ready = {
             name
-            for name, state in situation.observed.items()
+            for name, state in rollout.observed.items()
             if (held := find_model(state, wanted.model))
             and held.phase is ModelPhase.READY
         }
@@ -264,12 +264,12 @@
     return ''
 
 
-def _note_loading(situation: RolloutState, plan: Plan, endpoint: str) -> None:
+def _note_loading(rollout: RolloutState, plan: Plan, endpoint: str) -> None:
     loading = [
         f'{item.model} {item.version}'
-        for item in situation.observed[endpoint].models
+        for item in rollout.observed[endpoint].models
         if item.phase is ModelPhase.LOADING
     ]
     if loading:
         plan.notes[endpoint] = f'loading {", ".join(loading)}'
-        _keep_withheld(situation, plan, endpoint)
+        _keep_withheld(rollout, plan, endpoint)
--- a/src/kelproad/coordination/sides.py
+++ b/src/kelproad/coordination/sides.py
@@ -121,20 +121,20 @@
 
 def create_servers(
     settings: Settings,
-    caller_side: CallerApi,
+    caller_api: CallerApi,
     operators: OperatorApi,
     counters: Counters,
 ) -> list[HttpServer]:
     """Create both servers; neither listens before it is started."""
-    operator_side = web.Application(client_max_size=_MAX_FILE_BYTES)
-    operator_side.add_routes(operators.routes())
+    operator_application = web.Application(client_max_size=_MAX_FILE_BYTES)
+    operator_application.add_routes(operators.routes())
     sides = (
         (
             'callers',
-            caller_side.create_application(),
+            caller_api.create_application(),
             settings.caller_address,
         ),
-        ('operators', operator_side, settings.operator_address),
+        ('operators', operator_application, settings.operator_address),
     )
     return [
         HttpServer(
--- a/src/kelproad/coordination/verdicts.py
+++ b/src/kelproad/coordination/verdicts.py
@@ -49,11 +49,13 @@
 Acquired = Result[Claim | RecordedAnswer, Refusal]
 
 
-def evaluate_row(row: Row, current: ClaimRecord, mine: ClaimRecord) -> Acquired:
+def evaluate_row(
+    row: Row, current: ClaimRecord, new_claim: ClaimRecord
+) -> Acquired:
     """Decide what the current row of a key means for a request."""
-    if current.token == mine.token:
-        return Success(Claim(row.key, mine, row.version))
-    if current.request_digest != mine.request_digest:
+    if current.token == new_claim.token:
+        return Success(Claim(row.key, new_claim, row.version))
+    if current.request_digest != new_claim.request_digest:
         return Failure(
             Refusal(
                 RefusalCode.KEY_REUSED,
