--- a/src/kelproad/coordination/verdicts.py
+++ b/src/kelproad/coordination/verdicts.py
@@ -50,7 +50,9 @@
 
 
 def evaluate_row(
-    row: Row, current: ClaimRecord, new_claim: ClaimRecord
+    row: Row,
+    current: ClaimRecord,
+    new_claim: ClaimRecord,
 ) -> Acquired:
     """Decide what the current row of a key means for a request."""
     if current.token == new_claim.token:
@@ -120,7 +122,9 @@
         Step.CLAIM,
         peer=error.peer,
         retry_after=_clamp(
-            silent_seconds, _MIN_RETRY_AFTER, _MAX_OUTAGE_RETRY_AFTER
+            silent_seconds,
+            _MIN_RETRY_AFTER,
+            _MAX_OUTAGE_RETRY_AFTER,
         ),
     )
 
