--- a/src/kelproad/coordination/verdicts.py
+++ b/src/kelproad/coordination/verdicts.py
@@ -49,11 +49,15 @@
 Acquired = Result[Claim | RecordedAnswer, Refusal]
 
 
-def evaluate_row(row: Row, current: ClaimRecord, mine: ClaimRecord) -> Acquired:
+def evaluate_row(
+    row: Row,
+    current: ClaimRecord,
+    new_claim: ClaimRecord,
+) -> Acquired:
     """Decide what the current row of a key means for a request."""
-    if current.token == mine.token:
-        return Success(Claim(row.key, mine, row.version))
-    if current.request_digest != mine.request_digest:
+    if current.token == new_claim.token:
+        return Success(Claim(row.key, new_claim, row.version))
+    if current.request_digest != new_claim.request_digest:
         return Failure(
             Refusal(
                 RefusalCode.KEY_REUSED,
@@ -118,7 +122,9 @@
         Step.CLAIM,
         peer=error.peer,
         retry_after=_clamp(
-            silent_seconds, _MIN_RETRY_AFTER, _MAX_OUTAGE_RETRY_AFTER
+            silent_seconds,
+            _MIN_RETRY_AFTER,
+            _MAX_OUTAGE_RETRY_AFTER,
         ),
     )
 
