--- a/src/kelproad/platform/__init__.py
+++ b/src/kelproad/platform/__init__.py
@@ -1,6 +1,6 @@
 """The users' platform: its settings file, store, names and header fields.
 
-The only package that knows how the platform spells things.  It decodes once,
-into records of the product whose fields say what they hold, and encodes what
-the product wants said.  It decides nothing; only the command line imports it.
+The only package that knows the platform's wire names and formats.  It decodes
+them once into records of the product, and encodes what the product sends.  It
+makes no decisions; only the command line imports it.
 """
--- a/src/kelproad/platform/engines.py
+++ b/src/kelproad/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders to engines: reserving and releasing memory."""
+"""Orders to engines that reserve and release memory."""
 
 import logging
 
@@ -13,35 +13,35 @@
 __all__ = ['OrderClient']
 
 _logger = logging.getLogger(__name__)
-#: Seconds for an order; engines answer within a few milliseconds, and a
-#: prompt that waits for memory has some seconds.
+#: Seconds for an order.  Engines answer within a few milliseconds, and a
+#: prompt that waits for memory can wait some seconds.
 _ORDER_TIMEOUT = 0.3
-_DONE = 200
-#: Bytes of an engine's refusal that go to the log.
-_MOST_SHOWN = 100
+_OK = 200
+#: Bytes of an engine's refusal that are logged.
+_MAX_SHOWN = 100
 
 
 class _Reserve(msgspec.Struct):
-    """Set memory aside under an id of ours, which names no model or call."""
+    """Order to reserve memory under an id that names no model or call."""
 
     id: str
     token_count: int
-    #: A lease; it runs from the arrival of the order.
+    #: Length of the lease, from the arrival of the order.
     hold_ms: int
     operation: str = 'reserve'
-    #: Whether the engine is to admit nothing else until there is room.
+    #: Whether the engine admits nothing else until the memory is free.
     wait: bool = False
 
 
 class _Release(msgspec.Struct):
-    """Let memory go that is set aside under an id."""
+    """Order to release the memory reserved under an id."""
 
     id: str
     operation: str = 'release'
 
 
 class _Report(msgspec.Struct):
-    """What an engine says of itself, as far as it is used.
+    """The fields used of an engine's report about itself.
 
     ``pace`` grows as the engine gets slower.
     """
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class OrderClient:
-    """Sends orders, each on a connection of its own."""
+    """Client of engines; sends each order on a new connection."""
 
     _session: aiohttp.ClientSession
 
@@ -65,18 +65,19 @@
         tokens: int,
         seconds: float,
     ) -> Result[None, str]:
-        """Reserve memory for some seconds, or renew a reservation."""
+        """Reserve memory for ``seconds``, or renew the reservation."""
         order = _Reserve(ticket, tokens, int(seconds * 1000))
-        return await self._give(address, order)
+        return await self._send_order(address, order)
 
     async def release(self, address: str, ticket: str) -> Result[None, str]:
-        """End a reservation."""
-        return await self._give(address, _Release(ticket))
+        """End the reservation that the ticket identifies."""
+        return await self._send_order(address, _Release(ticket))
 
     async def read_slowdown(self, address: str) -> Result[float, str]:
-        """Read how many times its published seconds an engine takes.
+        """Read the ratio of an engine's durations to its published ones.
 
-        One that doesn't say takes those; one that isn't there doesn't answer.
+        It is 1 when the report doesn't state it; an engine that doesn't
+        answer is a failure.
         """
         answered = await exchange(
             self._session,
@@ -86,7 +87,7 @@
         )
         return answered.alt(lambda failure: failure.reason).map(_read_report)
 
-    async def _give(
+    async def _send_order(
         self,
         address: str,
         order: msgspec.Struct,
@@ -99,11 +100,11 @@
             msgspec.json.encode(order),
             headers={'Content-Type': 'application/json'},
         )
-        return answered.alt(lambda failure: failure.reason).bind(_sort_reply)
+        return answered.alt(lambda failure: failure.reason).bind(_check_reply)
 
 
 def _read_report(reply: Reply) -> float:
-    """Read a report; an engine is there also if it can't be read."""
+    """Read the pace; an unreadable report still shows a live engine."""
     try:
         return _decode_report(reply.body).pace
     except msgspec.DecodeError as error:
@@ -111,7 +112,7 @@
         return 1
 
 
-def _sort_reply(reply: Reply) -> Result[None, str]:
-    if reply.status == _DONE:
+def _check_reply(reply: Reply) -> Result[None, str]:
+    if reply.status == _OK:
         return Success(None)
-    return Failure(f'status {reply.status}: {reply.body[:_MOST_SHOWN]!r}')
+    return Failure(f'status {reply.status}: {reply.body[:_MAX_SHOWN]!r}')
--- a/src/kelproad/platform/headers.py
+++ b/src/kelproad/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of the platform's calls and answers, decoded and encoded."""
+"""Decoding and encoding of the header fields of calls and answers."""
 
 import re
 
@@ -21,29 +21,30 @@
 _REQUEST_ID = 'X-Kelproad-Request-Id'
 _DEADLINE = 'X-Kelproad-Deadline-Ms'
 _API_KEY = 'X-Api-Key'
-#: Name of the workspace whose key a call bears.
+#: Name of the workspace whose API key the call has.
 _WORKSPACE = 'X-Kelproad-Tenant'
 #: Id of the one endpoint that may run the call.
 _EXPECTED_ENDPOINT = 'X-Kelproad-Expect-Instance'
 _HELPERS = 'X-Kelproad-Helpers'
 _PRIORITY = 'X-Kelproad-Request-Priority'
 _EXPECTED_VERSION = 'X-Kelproad-Expect-Version'
-#: Prompt tokens and the most output tokens, despite its singular name.
+#: Prompt tokens and the limit of output tokens, despite its singular name.
 _TOKEN_COUNT = 'X-Kelproad-Token-Count'  # noqa: S105  no secret
 _LENGTH_HINT = 'X-Kelproad-Length-Hint'
 _LAST_EVENT = 'Last-Event-Id'
 _NOT_EXECUTED = 'X-Kelproad-Not-Executed'
 _STAMP = 'X-Kelproad-Server-Stamp'
-#: Address of the engine that made another one refuse.
+#: Address of the engine whose fault made another engine refuse.
 _AT_FAULT = 'At-Server'
 _RETRY_AFTER = 'Retry-After'
 
 _MILLISECONDS = 1000.0
-#: Longest time that a caller may ask for, in milliseconds: a day.  An absurd
-#: figure must not overflow the clock.
-_LONGEST_DEADLINE = 86_400_000
-#: Fields that only the system may set; a caller's own would pass for its.
-_OF_SYSTEM = frozenset(
+#: Longest deadline that a caller may request, in milliseconds: a day.  An
+#: absurd number must not overflow the clock.
+_MAX_DEADLINE = 86_400_000
+#: Fields that only the system may set; those of a caller are dropped, as an
+#: endpoint could not tell them from the system's.
+_SYSTEM_FIELDS = frozenset(
     name.lower()
     for name in (
         _API_KEY,
@@ -55,10 +56,10 @@
         _EXPECTED_VERSION,
     )
 )
-_NONE: frozenset[str] = frozenset()
+_NO_FIELDS: frozenset[str] = frozenset()
 _NUMBER = re.compile('[0-9]{1,15}')
 _MISDIRECTED = 421
-_FIRST_ERROR = 500
+_MIN_ERROR_STATUS = 500
 
 
 def read_call_head(
@@ -68,11 +69,13 @@
     headers = http_request.headers
     request_ids = headers.getall(_REQUEST_ID, [])
     if len(request_ids) != 1 or not request_ids[0]:
-        return Failure(_refuse(f'{_REQUEST_ID}: must be there once'))
+        return Failure(_refuse(f'{_REQUEST_ID}: must be present exactly once'))
     allowed = headers.get(_DEADLINE)
     if allowed is not None and not _NUMBER.fullmatch(allowed.strip()):
-        return Failure(_refuse(f'{_DEADLINE}: not a whole number'))
-    prompt, answer = _read_token_count(headers.get(_TOKEN_COUNT, ''))
+        return Failure(
+            _refuse(f'{_DEADLINE}: not a whole number of milliseconds')
+        )
+    prompt, answer = _parse_token_counts(headers.get(_TOKEN_COUNT, ''))
     return Success(
         CallHead(
             request_id=request_ids[0],
@@ -80,11 +83,11 @@
             host=headers.get('Host', ''),
             target=http_request.raw_path,
             api_key=headers.get(_API_KEY, ''),
-            time_allowed=_read_time(allowed),
+            time_allowed=_parse_deadline(allowed),
             prompt_tokens=prompt,
             answer_tokens=answer,
-            answer_hint=_read_count(headers.get(_LENGTH_HINT, '')) or 0,
-            resume_after=_read_count(headers.get(_LAST_EVENT, '')),
+            answer_hint=_parse_count(headers.get(_LENGTH_HINT, '')) or 0,
+            resume_after=_parse_count(headers.get(_LAST_EVENT, '')),
         ),
     )
 
@@ -94,8 +97,8 @@
     received: CIMultiDict[str],
     forwarding: Forwarding,
 ) -> CIMultiDict[str]:
-    """Encode the head of a call as an endpoint is to get it."""
-    headers = leave_out(received, _OF_SYSTEM)
+    """Encode the head of a call for an endpoint."""
+    headers = leave_out(received, _SYSTEM_FIELDS)
     headers['Host'] = call.head.host
     headers[_DEADLINE] = str(max(1, int(forwarding.time_left * _MILLISECONDS)))
     headers[_EXPECTED_ENDPOINT] = forwarding.endpoint
@@ -118,16 +121,16 @@
     """Decode the head of an endpoint's answer."""
     headers = response.headers
     return AnswerHead(
-        outcome=_judge(response, request_id),
+        outcome=_classify_answer(response, request_id),
         status=response.status,
-        headers=tuple(leave_out(headers, _NONE).items()),
+        headers=tuple(leave_out(headers, _NO_FIELDS).items()),
         at_fault=headers.get(_AT_FAULT, ''),
         length=response.content_length,
     )
 
 
 def build_refusal(refusal: Refusal, request_id: str) -> web.Response:
-    """Build the answer of this instance itself, without an engine's stamp."""
+    """Build this instance's own answer, which has no engine's stamp."""
     headers = {}
     if request_id:
         headers[_REQUEST_ID] = request_id
@@ -143,34 +146,40 @@
     )
 
 
-def _judge(response: aiohttp.ClientResponse, request_id: str) -> Outcome:
-    # First, as another endpoint may say as well that it did not run the call.
+def _classify_answer(
+    response: aiohttp.ClientResponse, request_id: str
+) -> Outcome:
+    # Checked first, as an endpoint that got a misdirected call may also state
+    # that it did not run it.
     if response.status == _MISDIRECTED:
         return Outcome.MISDIRECTED
     if _NOT_EXECUTED in response.headers:
         return Outcome.NOT_RUN
-    # An extra answer may lie on a connection where the next one is due; only
-    # the id that engines repeat tells them apart.
+    # A connection may deliver an extra answer before the expected one; only the
+    # request id, which engines echo, distinguishes them.
     if response.headers.get(_REQUEST_ID) != request_id:
         return Outcome.MISMATCHED
-    if response.status >= _FIRST_ERROR or response.status in NOT_RUN_STATUSES:
+    if (
+        response.status >= _MIN_ERROR_STATUS
+        or response.status in NOT_RUN_STATUSES
+    ):
         return Outcome.ERROR
     return Outcome.ANSWERED
 
 
-def _read_time(text: str | None) -> float | None:
+def _parse_deadline(text: str | None) -> float | None:
     if text is None:
         return None
-    return min(int(text), _LONGEST_DEADLINE) / _MILLISECONDS
+    return min(int(text), _MAX_DEADLINE) / _MILLISECONDS
 
 
-def _read_token_count(text: str) -> tuple[int, int]:
-    """Read both counts; what cannot be read counts as nothing."""
+def _parse_token_counts(text: str) -> tuple[int, int]:
+    """Parse both counts; one that is malformed counts as 0."""
     prompt, _, answer = text.partition(',')
-    return _read_count(prompt) or 0, _read_count(answer) or 0
+    return _parse_count(prompt) or 0, _parse_count(answer) or 0
 
 
-def _read_count(text: str) -> int | None:
+def _parse_count(text: str) -> int | None:
     text = text.strip()
     return int(text) if _NUMBER.fullmatch(text) else None
 
--- a/src/kelproad/platform/node.py
+++ b/src/kelproad/platform/node.py
@@ -1,4 +1,4 @@
-"""Building an instance that speaks the platform's protocol."""
+"""Construction of an instance that uses the platform's protocol."""
 
 import functools
 from collections.abc import Callable
@@ -20,46 +20,46 @@
 
 __all__ = ['create_node']
 
-#: Table in which the instances of this system list themselves.
+#: Table in which the instances of this system register themselves.
 _INSTANCE_TABLE = 'kelproad_instances'
 _READY_PATH = '/-/readyz'
 
 
 def create_node(settings: SettingsHolder) -> Node:
-    """Create an instance from the platform's settings."""
+    """Create an instance, which follows changes of its store's address."""
     dialect = Dialect(
         read_call_head=headers.read_call_head,
         encode_call=headers.encode_call,
         read_answer_head=headers.read_answer_head,
         build_refusal=headers.build_refusal,
-        open_orders=_open_orders,
+        open_orders=_create_operations,
         ready_path=_READY_PATH,
     )
     open_store = functools.partial(
-        _open_store,
+        _create_store,
         lambda: settings.current.store_address,
     )
     return Node(settings, dialect, open_store)
 
 
-def _open_orders(session: aiohttp.ClientSession) -> EngineOperations:
+def _create_operations(session: aiohttp.ClientSession) -> EngineOperations:
     client = OrderClient(session)
     return EngineOperations(
         client.reserve, client.release, client.read_slowdown
     )
 
 
-def _open_store(
+def _create_store(
     read_address: Callable[[], Address],
     session: aiohttp.ClientSession,
     counters: Counters,
 ) -> NodeStore:
     client = StoreClient(read_address, session, counters)
     return NodeStore(
-        configuration=_create_source(client, rows.CONFIGURATION_TABLE),
+        configuration=_create_table_source(client, rows.CONFIGURATION_TABLE),
         configuration_key=rows.CONFIGURATION_KEY,
         decode_configuration=rows.decode_configuration,
-        endpoints=_create_source(client, rows.ENDPOINT_TABLE),
+        endpoints=_create_table_source(client, rows.ENDPOINT_TABLE),
         decode_endpoint=rows.decode_endpoint,
         roster=RosterStore(
             functools.partial(client.put_row, _INSTANCE_TABLE),
@@ -68,7 +68,7 @@
     )
 
 
-def _create_source(client: StoreClient, table: str) -> TableSource:
+def _create_table_source(client: StoreClient, table: str) -> TableSource:
     return TableSource(
         table,
         functools.partial(client.read_table, table),
--- a/src/kelproad/platform/rows.py
+++ b/src/kelproad/platform/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store that the operator and the engines write, decoded."""
+"""Decoding of the store's rows that operators and engines write."""
 
 import math
 
@@ -27,22 +27,22 @@
     'decode_endpoint',
 ]
 
-#: Table of what operators write, and the key of the configuration in it.
+#: Table that operators write, and the key of the configuration in it.
 CONFIGURATION_TABLE = 'op'
 CONFIGURATION_KEY = 'config'
-#: Table in which engines list themselves, each under its id.
+#: Table in which engines register themselves, each under its id.
 ENDPOINT_TABLE = 'servers'
 
-#: A client leaves a stream after the longest of these: milliseconds, and times
-#: the latency and the pause that its route aims at.
-_LEAST_PATIENCE_MS = 2000
-_PATIENCE_OBJECTIVES = 4
-_PATIENCE_GAPS = 8
+#: A client abandons a stream that is silent for the longest of these: a time in
+#: milliseconds, and multiples of its route's target latency and target gap.
+_MIN_SILENCE_TIMEOUT_MS = 2000
+_LATENCY_MULTIPLE = 4
+_GAP_MULTIPLE = 8
 _MILLISECONDS = 1000.0
 _KIND_IDEMPOTENT = 'idempotent'
 _KIND_STREAMING = 'streaming'
 _STATES = frozenset(('ready', 'draining'))
-_LEAVING_STATE = 'draining'
+_DRAINING_STATE = 'draining'
 
 
 class _WeightedService(msgspec.Struct):
@@ -56,23 +56,23 @@
     path_prefix: str
     route_type: str
     timeout_ms: float
-    #: Named after the time of the whole answer; for a stream it is the time
-    #: to its first event.
+    #: Latency of the complete answer, but for a stream that of its first
+    #: event.
     target_latency_ms: float = math.inf
-    #: Longest pause between two events.
+    #: Longest gap between two events.
     target_gap_ms: float = math.inf
     priority: int = 0
     #: One service, or else several with weights.
     service: str = ''
     weighted_services: list[_WeightedService] = []
-    #: Endpoints, not sends: it bounds how many may get one call.
+    #: Maximum number of endpoints that may get one call, not of dispatches.
     max_attempts: int = 1
     anonymous: bool = False
     stream_resume: bool = False
 
 
 class _Delay(msgspec.Struct, rename={'origin': 'from'}):
-    """One way between two zones; the other way takes as long."""
+    """Delay from one zone to another; it is the same both ways."""
 
     origin: str
     target: str
@@ -80,20 +80,20 @@
 
 
 class _Engine(msgspec.Struct):
-    """Published model of an engine; what isn't used here is left out."""
+    """Published performance model of an engine; unused fields are omitted."""
 
     slots: int
     #: Tokens, not bytes.
     kv_capacity: int
     stride: int = 1
     step_ms: float = 1.0
-    #: Milliseconds that each writer adds to a step.
+    #: Milliseconds that each decoding stream adds to a step.
     per_seq_ms: float = 0
     #: Milliseconds that each 1,000 tokens of context add to a step.
     context_per_k: float = 0
-    #: Prompt tokens a second.
+    #: Prompt tokens prefilled per second.
     read_per_s: float = 15_000.0
-    #: Milliseconds for a million pairs of tokens.
+    #: Milliseconds for the attention of a million pairs of tokens.
     pairs_per_m: float = 0
     hop_ms: float = 0
     delays: list[_Delay] = []
@@ -101,7 +101,7 @@
 
 class _Service(msgspec.Struct):
     name: str
-    #: Only model engines have one.
+    #: Set for services of model engines only.
     engine: _Engine | None = None
 
 
@@ -113,7 +113,7 @@
 
 
 class _Tenant(msgspec.Struct):
-    """A customer: what the product calls a workspace."""
+    """A customer, which the product calls a workspace."""
 
     name: str
     api_keys: list[str] = []
@@ -129,18 +129,18 @@
 
 
 class _Server(msgspec.Struct):
-    """How an engine lists itself."""
+    """An engine's own entry in the table of endpoints."""
 
     service: str
     address: str
     zone: str
     state: str
-    #: Count of its reports; grows within one life.
+    #: Count of its reports; grows within one incarnation.
     sequence: int
     slots: int = 0
-    #: How much longer it is slow after its start.
+    #: Remaining time for which the engine is slow after its start.
     warmup_left_ms: float = 0
-    #: Unix millisecond of its start, which tells its lives apart.
+    #: Unix time of its start in milliseconds, which identifies its incarnation.
     born: int = 0
 
 
@@ -151,9 +151,9 @@
 def decode_configuration(
     row: StoredRow,
 ) -> Result[RoutingConfiguration, str]:
-    """Decode the row that holds the newest configuration in full."""
+    """Decode the row that holds the complete newest configuration."""
     if row.encoded is None:
-        return Failure('the configuration was dropped')
+        return Failure('the configuration was deleted')
     try:
         decoded = _configurations.decode(row.encoded)
     except msgspec.DecodeError as error:
@@ -177,11 +177,11 @@
 def decode_endpoint(row: StoredRow) -> Result[ListedEndpoint, str]:
     """Decode the row of one engine.
 
-    Rows may have been written by somebody else, with fields missing or of
-    another type; such a row names no engine.
+    Another program may have written the row, with fields missing or of another
+    type; such a row is a failure and lists no engine.
     """
     if row.encoded is None:
-        return Failure('dropped')
+        return Failure('deleted')
     try:
         server = _servers.decode(row.encoded)
         address = Address.from_text(server.address)
@@ -196,7 +196,7 @@
             address=address.authority,
             zone=server.zone,
             slots=server.slots,
-            leaving=server.state == _LEAVING_STATE,
+            leaving=server.state == _DRAINING_STATE,
             slow_for=server.warmup_left_ms / _MILLISECONDS,
             born=server.born,
             sequence=server.sequence,
@@ -213,30 +213,30 @@
         name=route.name,
         host=route.host,
         prefix=route.path_prefix,
-        kind=_choose_kind(route),
+        kind=_convert_kind(route),
         services=tuple(weighted or [WeightedService(route.service, 1)]),
         timeout=route.timeout_ms / _MILLISECONDS,
         objective=route.target_latency_ms / _MILLISECONDS,
         gap_objective=route.target_gap_ms / _MILLISECONDS,
-        silence_timeout=_choose_patience(route),
+        silence_timeout=_compute_silence_timeout(route),
         priority=route.priority,
         max_endpoints=max(1, route.max_attempts),
         anonymous=route.anonymous,
     )
 
 
-def _choose_patience(route: _Route) -> float:
-    """Choose the seconds without an event after which clients leave."""
+def _compute_silence_timeout(route: _Route) -> float:
+    """Return the seconds without an event after which clients leave."""
     milliseconds = max(
-        _LEAST_PATIENCE_MS,
-        _PATIENCE_OBJECTIVES * route.target_latency_ms,
-        _PATIENCE_GAPS * route.target_gap_ms,
+        _MIN_SILENCE_TIMEOUT_MS,
+        _LATENCY_MULTIPLE * route.target_latency_ms,
+        _GAP_MULTIPLE * route.target_gap_ms,
     )
     return milliseconds / _MILLISECONDS
 
 
-def _choose_kind(route: _Route) -> CallKind:
-    """Choose the kind; a type that isn't known is not repeated."""
+def _convert_kind(route: _Route) -> CallKind:
+    """Return the kind; calls of an unknown type must not be repeated."""
     if route.route_type == _KIND_STREAMING:
         resumes = route.stream_resume
         return CallKind.RESUMABLE_STREAM if resumes else CallKind.STREAM
@@ -266,7 +266,7 @@
 
 
 def _collect_delays(services: list[_Service]) -> dict[frozenset[str], float]:
-    """Collect the delays between zones, which each service repeats."""
+    """Collect the delays between zones, which every service lists."""
     return {
         frozenset((delay.origin, delay.target)): delay.delay_ms / _MILLISECONDS
         for service in services
--- a/src/kelproad/platform/settings.py
+++ b/src/kelproad/platform/settings.py
@@ -1,8 +1,8 @@
 """The settings file that the platform writes for each process.
 
-Lines of the form ``a.b=value``; lists are joined by commas.  The platform
-writes it anew at each start and whenever settings change.  Fields that are not
-known here are ignored, as the platform adds new ones.
+It has lines of the form ``a.b=value``; items of lists are separated by commas.
+The platform rewrites it at each start and whenever settings change.  Unknown
+fields are ignored, as the platform adds new ones.
 """
 
 import pathlib
@@ -24,18 +24,21 @@
 
 
 class _FieldError(ValueError):
-    """A field is missing or is not of its type."""
+    """A field is missing or not of its type."""
 
 
 @attrs.frozen
 class _Fields:
-    """The file's fields, read with their types."""
+    """The fields of the file by name, with typed accessors.
+
+    They raise ``_FieldError`` for a value that is not of the type.
+    """
 
     values: dict[str, str]
 
     @classmethod
     def from_text(cls, text: str) -> Self:
-        """Split the lines; those without an equals sign are passed over."""
+        """Split the lines; those without an equals sign are ignored."""
         pairs = (line.partition('=') for line in text.splitlines())
         return cls(
             {
@@ -46,13 +49,13 @@
         )
 
     def text(self, name: str) -> str:
-        """Return a field that must be there."""
+        """Return a required field, which must not be empty."""
         if not self.values.get(name):
             raise _FieldError(f'{name}: missing')
         return self.values[name]
 
     def number(self, name: str, default: float | None = None) -> float:
-        """Return a number, or a default where the field is missing."""
+        """Return a number, or the default if the field is missing."""
         if default is not None and not self.values.get(name):
             return default
         try:
@@ -61,19 +64,19 @@
             raise _FieldError(f'{name}: {error}') from error
 
     def seconds(self, name: str, default: float | None = None) -> float:
-        """Return a time that the file gives in milliseconds."""
-        wanted = None if default is None else default * _MILLISECONDS
-        return self.number(name, wanted) / _MILLISECONDS
+        """Return in seconds a time that the file gives in milliseconds."""
+        default_ms = None if default is None else default * _MILLISECONDS
+        return self.number(name, default_ms) / _MILLISECONDS
 
     def address(self, name: str) -> Address:
-        """Return an address."""
+        """Return the address in a required field."""
         try:
             return Address.from_text(self.text(name))
         except AddressError as error:
             raise _FieldError(f'{name}: {error}') from error
 
     def addresses(self, name: str) -> tuple[Address, ...]:
-        """Return a list of addresses, which may be empty or missing."""
+        """Return the addresses of a field that may be empty or missing."""
         texts = self.values.get(name, '').split(',')
         try:
             return tuple(Address.from_text(text) for text in texts if text)
@@ -84,7 +87,7 @@
 def load_node_settings(
     path: pathlib.Path,
 ) -> Result[NodeSettings, list[Problem]]:
-    """Read and check a settings file."""
+    """Read and check a settings file; an unreadable one is a problem too."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -96,19 +99,22 @@
     text: str,
     origin: str,
 ) -> Result[NodeSettings, list[Problem]]:
-    """Check the text of a settings file."""
+    """Parse and check the text of a settings file.
+
+    ``origin`` names the file in problems; only the first problem is reported.
+    """
     fields = _Fields.from_text(text)
     try:
-        settings = _decode(fields)
+        settings = _decode_settings(fields)
     except _FieldError as error:
         return Failure([Problem(origin, 1, _ROOT, str(error))])
     return Success(settings)
 
 
-def _decode(fields: _Fields) -> NodeSettings:
+def _decode_settings(fields: _Fields) -> NodeSettings:
     ports = fields.text('internal_port_range').split(',')
     if not ports[0].isdigit():
-        raise _FieldError('internal_port_range: not a port')
+        raise _FieldError('internal_port_range: does not begin with a port')
     return NodeSettings(
         instance=fields.text('node_name'),
         zone=fields.text('zone'),
@@ -117,35 +123,37 @@
         ready_address=fields.address('listen.ready'),
         peer_port=int(ports[0]),
         store_address=fields.address('platform.address'),
-        # The ports of a service are the same at every instance, so a seed's
-        # IP number is enough to find its port for peers.
+        # Every instance uses the same port for its peers, so a seed's host is
+        # enough to find it.
         seed_hosts=tuple(seed.host for seed in fields.addresses('seeds')),
         bounds=_decode_bounds(fields),
     )
 
 
 def _decode_bounds(fields: _Fields) -> Bounds:
-    """Decode the figures of the rules; those not given keep their default."""
-    usual = Bounds()
+    """Decode the limits; one that is missing has its default."""
+    defaults = Bounds()
     return Bounds(
-        stop_grace=fields.number('bounds.grace_s', usual.stop_grace),
-        leave_endpoint=fields.seconds('bounds.drain_ms', usual.leave_endpoint),
+        stop_grace=fields.number('bounds.grace_s', defaults.stop_grace),
+        leave_endpoint=fields.seconds(
+            'bounds.drain_ms', defaults.leave_endpoint
+        ),
         apply_configuration=fields.seconds(
             'bounds.config_apply_ms',
-            usual.apply_configuration,
+            defaults.apply_configuration,
         ),
-        revoke_key=fields.seconds('bounds.revoke_ms', usual.revoke_key),
+        revoke_key=fields.seconds('bounds.revoke_ms', defaults.revoke_key),
         retry_ratio=fields.number(
             'bounds.retry_budget_ratio',
-            usual.retry_ratio,
+            defaults.retry_ratio,
         ),
-        retry_slack=fields.number('bounds.retry_slack', usual.retry_slack),
+        retry_slack=fields.number('bounds.retry_slack', defaults.retry_slack),
         longest_reservation=fields.seconds(
             'bounds.hold_max_ms',
-            usual.longest_reservation,
+            defaults.longest_reservation,
         ),
         free_reservation=fields.seconds(
             'bounds.free_ms',
-            usual.free_reservation,
+            defaults.free_reservation,
         ),
     )
--- a/src/kelproad/platform/store.py
+++ b/src/kelproad/platform/store.py
@@ -1,8 +1,8 @@
-"""Client of the platform's store: rows in tables, and what changed in them.
+"""Client of the platform's store: rows in tables, and their changes.
 
-Every call has a time limit and a fresh outcome: a kept connection may have gone
-silent for good, or have lost an answer, so one that failed is closed.  Answers
-say nothing about calls that were lost; only reading back does.
+Every call has a time limit.  A connection whose call failed is closed, as it
+may stay silent for good or have lost an answer.  Answers state nothing
+about calls that were lost: these are resolved only by reading the rows again.
 """
 
 import base64
@@ -27,29 +27,29 @@
 
 __all__ = ['StoreClient']
 
-#: Seconds for a call that has nothing to wait for.  The store takes some 4 ms,
-#: and up to 60 times as long when it is slow.
+#: Seconds for a call that does not wait for changes.  The store takes some
+#: 4 ms, and up to 60 times as long when it is slow.
 _CALL_TIMEOUT = 1.0
-_MOST_ROWS = 500
+_MAX_ROWS_PER_PAGE = 500
 _TOO_MANY_CALLS = 429
 _HISTORY_LOST = 410
 _CONDITION_FAILED = 412
-_SUCCESS = 200
+_OK = 200
 
 
 class _WireRow(msgspec.Struct):
-    """A row as the store spells it; ``value`` is base64."""
+    """A row in the store's JSON; ``value`` is base64."""
 
     key: str
     value: str = ''
     part: str = ''
     row_version: int = 0
-    #: Only in a feed: the row was dropped.
+    #: Set in answers to ``rows-feed`` only: the row was deleted.
     deleted: bool = False
 
 
 class _WireRows(msgspec.Struct):
-    """Rows with the newest version that the store had given out."""
+    """Rows, and the newest version that the store had assigned."""
 
     row_version: int
     rows: list[_WireRow] = []
@@ -61,21 +61,21 @@
 
 @attrs.frozen
 class StoreClient:
-    """Calls to the store over one session."""
+    """Calls to the store over one session; counts them by outcome."""
 
     _read_address: Callable[[], Address]
     _session: aiohttp.ClientSession
     _counters: Counters
 
     async def read_table(self, table: str) -> Result[TableState, StoreProblem]:
-        """Read all rows of a table.
+        """Read all rows of a table, page by page.
 
-        Pages are read one after the other; the version of the first one
-        counts, so that a change in between is seen again in what follows.
+        The state gets the version of the first page, so that a change between
+        two pages is received again with the changes that follow.
         """
         rows: list[StoredRow] = []
         version = None
-        query = {'table': table, 'part': '', 'limit': str(_MOST_ROWS)}
+        query = {'table': table, 'part': '', 'limit': str(_MAX_ROWS_PER_PAGE)}
         while True:
             page = await self._get('rows-get', query, _CALL_TIMEOUT)
             if isinstance(page, Failure):
@@ -85,26 +85,26 @@
             rows.extend(map(_decode_row, answered.rows))
             if not answered.has_more or not answered.rows:
                 return Success(TableState(version, rows, whole=True))
-            # A range begins with its first key, so the smallest key above the
-            # last one read is the last one with a zero byte behind it.
+            # ``from`` is inclusive; the smallest key above the last one read
+            # is that key with a zero byte appended.
             query['from'] = f'{answered.rows[-1].key}\0'
 
     async def await_changes(
         self,
         table: str,
         version: int,
-        patience: float,
+        wait_seconds: float,
     ) -> Result[TableState, StoreProblem]:
-        """Wait until rows have changed since a version, or for so long."""
+        """Wait ``wait_seconds`` at most for rows changed since a version."""
         query = {
             'table': table,
             'after_revision': str(version),
-            'wait_ms': str(int(patience * 1000)),
+            'wait_ms': str(int(wait_seconds * 1000)),
         }
         answered = await self._get(
             'rows-feed',
             query,
-            patience + _CALL_TIMEOUT,
+            wait_seconds + _CALL_TIMEOUT,
         )
         return answered.map(
             lambda found: TableState(
@@ -120,7 +120,7 @@
         key: str,
         encoded: bytes,
     ) -> Result[None, StoreProblem]:
-        """Write one row, whatever it held before."""
+        """Write one row unconditionally."""
         body = {
             'expected_revision': [],
             'puts': [
@@ -168,15 +168,15 @@
             query,
             {'Content-Type': 'application/json'} if body else {},
         )
-        sorted_out = answered.alt(_explain_unreached).bind(_sort_reply)
+        checked = answered.alt(_convert_failure).bind(_check_reply)
         outcome = 'ok'
-        if isinstance(sorted_out, Failure):
-            outcome = sorted_out.failure().kind.value
+        if isinstance(checked, Failure):
+            outcome = checked.failure().kind.value
         self._counters.store_calls.inc({'operation': name, 'outcome': outcome})
-        return sorted_out
+        return checked
 
 
-_KINDS = types.MappingProxyType(
+_KINDS_BY_STATUS = types.MappingProxyType(
     {
         _HISTORY_LOST: StoreProblemKind.HISTORY_LOST,
         _TOO_MANY_CALLS: StoreProblemKind.TOO_MANY_CALLS,
@@ -185,14 +185,14 @@
 )
 
 
-def _explain_unreached(failure: ExchangeFailure) -> StoreProblem:
+def _convert_failure(failure: ExchangeFailure) -> StoreProblem:
     return StoreProblem(StoreProblemKind.UNREACHABLE, failure.reason)
 
 
-def _sort_reply(reply: Reply) -> Result[bytes, StoreProblem]:
-    if reply.status == _SUCCESS:
+def _check_reply(reply: Reply) -> Result[bytes, StoreProblem]:
+    if reply.status == _OK:
         return Success(reply.body)
-    kind = _KINDS.get(reply.status, StoreProblemKind.REFUSED)
+    kind = _KINDS_BY_STATUS.get(reply.status, StoreProblemKind.REFUSED)
     return Failure(StoreProblem(kind, f'status {reply.status}'))
 
 
@@ -204,7 +204,7 @@
 
 
 def _decode_row(row: _WireRow) -> StoredRow:
-    """Decode one row; bytes that are not base64 become an unreadable value."""
+    """Decode one row; a value that is not base64 becomes empty bytes."""
     if row.deleted:
         return StoredRow(row.key, None, row.row_version)
     try:
