--- a/src/kelproad/platform/rows.py
+++ b/src/kelproad/platform/rows.py
@@ -181,7 +181,7 @@
     type; such a row is a failure and lists no engine.
     """
     if row.encoded is None:
-        return Failure('deleted')
+        return Failure('dropped')
     try:
         server = _servers.decode(row.encoded)
         address = Address.from_text(server.address)
