--- a/src/kelproad/protocol/__init__.py
+++ b/src/kelproad/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages and codecs for every side that the system talks to.
+"""Typed messages, codecs and clients for every peer of the system.
 
 May import ``transport`` and ``state``; ``coordination`` and the command line
 import it.
--- a/src/kelproad/protocol/callers.py
+++ b/src/kelproad/protocol/callers.py
@@ -1,8 +1,8 @@
-"""What callers send and get: completions, and the one shape of refusals.
+"""The callers' API: completion calls, their headers, and refusals.
 
-The completion calls follow the OpenAI HTTP API so that existing clients work
-unchanged.  A body is parsed once and shallowly: the prompt, which may be
-megabytes, stays a view into the received bytes.
+Completion calls follow the OpenAI HTTP API so that existing clients work
+unchanged.  A body is parsed once and only at its top level: the prompt, which
+may have megabytes, stays a view into the received bytes.
 """
 
 import codecs
@@ -48,16 +48,16 @@
 
 @attrs.frozen
 class CompletionBody:
-    """A completion call, parsed no deeper than the system needs.
+    """A completion call, parsed only at its top level.
 
     Attributes
     ----------
     fields
         Every field of the body as raw JSON.
     model
-        Model that the caller asks for.
+        Name of the requested model.
     stream
-        Whether the caller wants server-sent events.
+        Whether the caller requests server-sent events.
     prompt
         View of the raw JSON of the prompt or the messages.
     """
@@ -69,7 +69,7 @@
 
     @classmethod
     def from_bytes(cls, body: bytes, field: str) -> Result[Self, Refusal]:
-        """Parse a body whose prompt stands under ``field``."""
+        """Parse a body that has its prompt or messages in ``field``."""
         try:
             fields = msgspec.json.decode(body, type=RawFields)
             model = msgspec.json.decode(fields[_MODEL], type=str)
@@ -79,30 +79,30 @@
             )
             prompt = memoryview(fields[field])
         except KeyError as missing:
-            return _refuse_body(f'the body has no field {missing}')
+            return _fail_bad_request(f'the body has no field {missing}')
         except (
             msgspec.DecodeError,
             UnicodeDecodeError,
-            # A body of nothing but opening brackets.
+            # A deeply nested body, such as nothing but opening brackets.
             RecursionError,
         ) as error:
-            return _refuse_body(f'malformed body: {error}')
+            return _fail_bad_request(f'malformed body: {error}')
         return Success(cls(fields, model, bool(stream), prompt))
 
     def estimate_tokens(self, bytes_per_token: float) -> int:
-        """Estimate the prompt's tokens from its bytes.
+        """Estimate the number of prompt tokens from the size in bytes.
 
-        The divisor is declared per service.  For English text at the default
-        of 4 the estimate is within a quarter of the true count; text in other
-        scripts needs its own divisor.
+        Each service declares its ``bytes_per_token``.  With the default of 4
+        the estimate for English text is within 25 % of the true count; text in
+        other scripts needs another value.
         """
         return max(1, math.ceil(self.prompt.nbytes / bytes_per_token))
 
     def encode_streaming(self) -> bytes:
-        """Encode the body for an engine: the same fields, streamed.
+        """Encode the body for an engine: the same fields, with ``stream`` set.
 
-        The body never goes on as it came: of a key that stands twice, this
-        program checked the last value, and an engine might take the first.
+        The received bytes are never forwarded: if a key occurs twice, this
+        program has checked the last value, and an engine may use the first.
         """
         return msgspec.json.encode({**self.fields, _STREAM: _RAW_TRUE})
 
@@ -120,27 +120,29 @@
 ) -> Result[bytes, Refusal]:
     """Read a body of at most ``limit`` bytes.
 
-    A declared length over the limit is refused before anything is read.  Text
-    must be UTF-8; it is checked as it arrives, so that no second copy of it
-    is made.
+    A declared length over the limit is refused before anything is read.  If
+    ``text`` is set, the body must be UTF-8; it is checked chunk by chunk, so
+    that no second copy of it is made.
     """
     declared = http_request.content_length
     if declared is not None and declared > limit:
-        return Failure(_too_large(limit))
+        return Failure(_refuse_too_large(limit))
     check_text = codecs.getincrementaldecoder('utf-8')()
     received = bytearray()
     try:
         async for chunk in http_request.content.iter_any():
             received += chunk
             if len(received) > limit:
-                return Failure(_too_large(limit))
+                return Failure(_refuse_too_large(limit))
             check_text.decode(chunk if text else b'')
         check_text.decode(b'', final=True)
     except UnicodeDecodeError:
-        return _refuse_body('the body is not UTF-8')
+        return _fail_bad_request('the body is not UTF-8')
     except (web.RequestPayloadError, HttpProcessingError):
-        # Wrong chunk sizes, or a content encoding that does not decode.
-        return _refuse_body('the body is not encoded as its headers say')
+        # Wrong chunk sizes, or a content encoding that cannot be decoded.
+        return _fail_bad_request(
+            'the body is not encoded as its headers declare'
+        )
     return Success(bytes(received))
 
 
@@ -149,37 +151,38 @@
     default: float,
     maximum: float,
 ) -> Result[float, Refusal]:
-    """Parse the seconds a caller gives a request, bounded by the service."""
+    """Parse a request's time limit in seconds, capped at ``maximum``."""
     if text is None:
         return Success(default)
-    # float() takes more than a caller can mean: nan, 1e400, 1_0, digits of
+    # float() accepts more than a decimal number: nan, 1e400, 1_0, and digits of
     # other scripts.
     if not _DECIMAL.fullmatch(text) or not float(text):
-        return _refuse_body(
-            f'{DEADLINE_HEADER} must be a decimal number of seconds above zero',
+        return _fail_bad_request(
+            f'{DEADLINE_HEADER} must be a decimal number of seconds greater '
+            'than zero',
         )
     return Success(min(float(text), maximum))
 
 
 def parse_key(text: str | None) -> Result[str, Refusal]:
-    """Check an idempotency key; no key gives an empty one."""
+    """Check an idempotency key; without the header it is empty."""
     if text is None:
         return Success('')
-    if not text.strip() or not _is_fit(text):
-        return _refuse_body(
+    if not text.strip() or not _is_valid_key(text):
+        return _fail_bad_request(
             f'{KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} printable '
             'characters',
         )
     return Success(text)
 
 
-def _is_fit(key: str) -> bool:
+def _is_valid_key(key: str) -> bool:
     # Bytes that are not UTF-8 arrive as surrogates, which are not printable.
     return len(key) <= MAX_KEY_LENGTH and key.isprintable()
 
 
 def read_bearer(http_request: web.BaseRequest) -> str:
-    """Return the bearer token of a call, empty when there is none."""
+    """Return the bearer token of a call, or an empty string without one."""
     scheme, _, token = http_request.headers.get(
         'Authorization',
         '',
@@ -188,10 +191,11 @@
 
 
 def digest_key(key: str) -> str:
-    """Digest an API key or operator token as configuration stores it.
+    """Digest an API key or operator token as the configuration stores it.
 
-    Keys are long random strings, so a plain digest cannot be guessed back,
-    and looking a digest up takes no time that depends on a stored secret.
+    Keys are long random strings, so an unsalted digest cannot be reversed by
+    guessing, and the time to look a digest up does not depend on a stored
+    secret.
     """
     return hashlib.sha256(key.encode('utf-8', 'surrogateescape')).hexdigest()
 
@@ -200,7 +204,7 @@
 
 
 def encode_refusal(refusal: Refusal, request_id: str) -> bytes:
-    """Encode a refusal in the one JSON shape that callers get."""
+    """Encode a refusal in the JSON format of all refusals to callers."""
     return msgspec.json.encode(
         {
             'error': {
@@ -218,7 +222,7 @@
 
 
 def answer_refusal(refusal: Refusal, request_id: str) -> web.Response:
-    """Build the HTTP answer of a refusal."""
+    """Build the HTTP response for a refusal."""
     headers = {REQUEST_ID_HEADER: request_id}
     if refusal.retry_after is not None:
         headers['Retry-After'] = str(math.ceil(refusal.retry_after))
@@ -230,13 +234,13 @@
     )
 
 
-def _refuse_body(message: str) -> Result[object, Refusal]:
+def _fail_bad_request(message: str) -> Result[object, Refusal]:
     return Failure(
         Refusal(RefusalCode.BAD_REQUEST, message, Step.RECEIVE, ran=Ran.NO),
     )
 
 
-def _too_large(limit: int) -> Refusal:
+def _refuse_too_large(limit: int) -> Refusal:
     return Refusal(
         RefusalCode.TOO_LARGE,
         f'the body is larger than {limit} bytes',
--- a/src/kelproad/protocol/completions.py
+++ b/src/kelproad/protocol/completions.py
@@ -1,4 +1,4 @@
-"""Completions in the OpenAI shape: event streams and whole JSON answers."""
+"""Completions in the OpenAI format: event streams and single JSON answers."""
 
 import types
 from collections.abc import Iterable
@@ -16,12 +16,12 @@
 
 
 class MalformedAnswerError(Exception):
-    """The events of an answer do not join into one."""
+    """The events of an answer cannot be joined into one JSON answer."""
 
 
 Fields = dict[str, object]
 
-_WHOLE_OBJECTS = types.MappingProxyType(
+_JOINED_OBJECTS = types.MappingProxyType(
     {
         'text_completion': 'text_completion',
         'chat.completion.chunk': 'chat.completion',
@@ -29,8 +29,8 @@
 )
 
 
-#: How a payload that is no part of a completion shows while joining.
-_MALFORMED = (msgspec.DecodeError, AttributeError, KeyError, TypeError)
+#: Exceptions raised in joining by a payload that is no part of a completion.
+_MALFORMED_ERRORS = (msgspec.DecodeError, AttributeError, KeyError, TypeError)
 
 
 def encode_events(payloads: Iterable[bytes]) -> bytes:
@@ -39,9 +39,10 @@
 
 
 def encode_refused_event(refusal: bytes) -> bytes:
-    """Encode the event that tells of an answer that was broken off.
+    """Encode the event that reports that an answer was aborted.
 
-    No ``[DONE]`` follows it, so a client cannot take it for an end.
+    No ``[DONE]`` follows it, so a client cannot mistake the answer for a
+    complete one.
     """
     return b'event: error\ndata: %b\n\n' % refusal
 
@@ -56,7 +57,7 @@
     """
     try:
         return msgspec.json.encode(_join_chunks(payloads))
-    except _MALFORMED as error:
+    except _MALFORMED_ERRORS as error:
         raise MalformedAnswerError(repr(error)) from error
 
 
@@ -71,26 +72,26 @@
             _join_choice(choices.setdefault(choice['index'], {}), choice)
         answer.update(chunk)
     kind = str(answer.get('object', ''))
-    answer['object'] = _WHOLE_OBJECTS.get(kind, kind)
+    answer['object'] = _JOINED_OBJECTS.get(kind, kind)
     answer['choices'] = [choices[index] for index in sorted(choices)]
     return answer
 
 
 def _join_choice(joined: Fields, part: Fields) -> None:
-    """Append one event's part of a choice to what came before."""
-    for name, fresh in part.items():
+    """Append one event's part of a choice to the parts before it."""
+    for name, added in part.items():
         if name == 'text':
-            joined['text'] = str(joined.get('text', '')) + str(fresh)
+            joined['text'] = str(joined.get('text', '')) + str(added)
         elif name == 'delta':
             message = joined.setdefault('message', {'content': ''})
-            _join_message(message, fresh)
-        elif fresh is not None or name not in joined:
-            joined[name] = fresh
+            _join_message(message, added)
+        elif added is not None or name not in joined:
+            joined[name] = added
 
 
 def _join_message(message: Fields, delta: Fields) -> None:
-    for name, fresh in delta.items():
+    for name, added in delta.items():
         if name == 'content':
-            message['content'] = str(message['content']) + str(fresh or '')
+            message['content'] = str(message['content']) + str(added or '')
         else:
-            message[name] = fresh
+            message[name] = added
--- a/src/kelproad/protocol/connections.py
+++ b/src/kelproad/protocol/connections.py
@@ -1,4 +1,4 @@
-"""What happened on a connection, for telling whether work may have run."""
+"""Connection time-outs and traces, which show whether a request was sent."""
 
 import aiohttp
 import attrs
@@ -13,18 +13,18 @@
 
 #: Seconds for connecting to an endpoint within a site.
 CONNECT_TIMEOUT = 2.0
-#: Headers that the HTTP library would add where the caller sent none.
+#: Headers that aiohttp must not add where the caller sent none.
 NEVER_ADDED = ('Accept', 'Accept-Encoding', 'Content-Type', 'User-Agent')
 
 
 @attrs.define
 class ConnectionProgress:
-    """What has happened on a connection, for telling whether work ran.
+    """Progress of a request, which shows whether its work may have run.
 
     Attributes
     ----------
     connected
-        A connection was given to the request, so that bytes of it may have
+        Whether the request has got a connection, so that bytes of it may have
         been written.
     """
 
@@ -32,19 +32,19 @@
 
 
 def limit_connecting(seconds: float) -> aiohttp.ClientTimeout:
-    """Bound connecting alone; the deadline of the call bounds all else."""
+    """Limit the time to connect; the call's deadline limits the rest."""
     return aiohttp.ClientTimeout(total=None, sock_connect=seconds)
 
 
 def trace_connections() -> aiohttp.TraceConfig:
-    """Build the trace that notes when a request has a connection.
+    """Build the trace that records when a request gets a connection.
 
-    Until then no byte of it can have been written, so a failure before means
-    that the work was not run; after, it may have been.
+    Before that no byte of it can have been written, so a failure means that
+    the work was not run; afterwards it may have been.
     """
     config = aiohttp.TraceConfig()
 
-    async def note_connected(
+    async def record_connected(
         _session: aiohttp.ClientSession,
         context: object,
         _details: object,
@@ -53,6 +53,6 @@
         if isinstance(progress, ConnectionProgress):
             progress.connected = True
 
-    config.on_connection_create_end.append(note_connected)
-    config.on_connection_reuseconn.append(note_connected)
+    config.on_connection_create_end.append(record_connected)
+    config.on_connection_reuseconn.append(record_connected)
     return config
--- a/src/kelproad/protocol/continuations.py
+++ b/src/kelproad/protocol/continuations.py
@@ -1,9 +1,9 @@
-"""Continuing an answer on another engine, behind the text already delivered.
+"""Continuation of an answer on another engine, after the delivered text.
 
-The body of the new dispatch is that of the first with one field more,
-``continue_from``: the text so far.  An engine that honours it confirms with
-``X-Continued-Bytes`` how many bytes of it stand before what it will send, and
-counts them against the request's limit of tokens.
+The body of the new dispatch is that of the first with an additional field,
+``continue_from``: the text so far.  An engine that supports it confirms with
+``X-Continued-Bytes`` how many bytes of it precede the text that it will send,
+and counts them against the request's limit of tokens.
 """
 
 import types
@@ -21,11 +21,10 @@
     'read_text',
 ]
 
-#: Fields under which an answer depends on nothing but the text before it.
-#: Any other field (tools, log probabilities, an echo, a suffix, several
-#: choices of which the best is kept) may give it a state that the text does
-#: not show.
-_HARMLESS = types.MappingProxyType(
+#: Fields with which an answer depends only on the text before it.  Any other
+#: field (tools, log probabilities, an echo, a suffix, several choices of which
+#: the best is kept) may add state that the text does not show.
+_STATELESS = types.MappingProxyType(
     dict.fromkeys(
         (
             'max_completion_tokens',
@@ -47,7 +46,7 @@
 
 
 class ContinuationError(Exception):
-    """What another engine sends is no continuation of the answer."""
+    """The events of another engine do not continue the answer."""
 
 
 @attrs.frozen
@@ -65,7 +64,7 @@
     logprobs: object = None
 
     def read_text(self) -> str | None:
-        """Return the text, or ``None`` if there is more to it than text."""
+        """Return the text, or ``None`` if the choice has more than text."""
         if self.index or self.finish_reason or self.logprobs is not None:
             return None
         content = self.delta.content if self.delta else self.text
@@ -80,12 +79,12 @@
 
 @attrs.frozen
 class Continuation:
-    """What the caller has already, and what must go on from there.
+    """The delivered part of an answer, which another engine continues.
 
     Attributes
     ----------
     first
-        Raw fields of the first event that the caller got.
+        Raw fields of the first event sent to the caller.
     """
 
     text: str
@@ -93,21 +92,22 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the text, as the engine must confirm them."""
+        """Number of bytes of the text, which the engine must confirm."""
         return len(self.text.encode())
 
     def encode_body(self, body: CompletionBody) -> bytes:
-        """Encode the dispatch that asks for the rest."""
+        """Encode the body that requests the rest of the answer."""
         fields = {**body.fields, 'stream': True, 'continue_from': self.text}
         return msgspec.json.encode(fields)
 
     def adapt(self, payload: bytes) -> bytes:
-        """Give an event of the second engine the id of the first one's.
+        """Give an event of the second engine the first event's id and time.
 
         Raises
         ------
         ContinuationError
-            When another build of the model answers, whose text need not fit.
+            When the event is malformed, or comes from another build of the
+            model, whose text may not fit.
         """
         try:
             fields = msgspec.json.decode(payload, type=dict[str, msgspec.Raw])
@@ -125,24 +125,24 @@
 
 
 def is_deterministic(fields: Mapping[str, msgspec.Raw]) -> bool:
-    """Tell whether an answer is settled by its prompt and the text so far.
+    """Return whether the prompt and the text so far determine an answer.
 
-    That is so for one choice, drawn greedily or by a given seed, without any
-    field that adds a state of its own.
+    They do for one choice, sampled greedily or with a given seed, without any
+    field that adds state.
     """
-    if not fields.keys() <= _HARMLESS.keys() or _read(fields, 'n') not in {
+    if not fields.keys() <= _STATELESS.keys() or _decode(fields, 'n') not in {
         None,
         1,
     }:
         return False
-    seeded = isinstance(_read(fields, 'seed'), int)
-    return seeded or _read(fields, 'temperature') == 0
+    seeded = isinstance(_decode(fields, 'seed'), int)
+    return seeded or _decode(fields, 'temperature') == 0
 
 
 def read_text(payloads: Iterable[bytes]) -> str | None:
-    """Join the text of events; ``None`` when they hold more than text.
+    """Join the text of events; ``None`` if they contain more than text.
 
-    An answer whose last token has been delivered has nothing to continue.
+    That includes a finish reason: nothing is left to continue after it.
     """
     parts = []
     for payload in payloads:
@@ -157,6 +157,6 @@
     return ''.join(parts)
 
 
-def _read(fields: Mapping[str, msgspec.Raw], name: str) -> object:
+def _decode(fields: Mapping[str, msgspec.Raw], name: str) -> object:
     raw = fields.get(name)
     return None if raw is None else msgspec.json.decode(raw)
--- a/src/kelproad/protocol/documents.py
+++ b/src/kelproad/protocol/documents.py
@@ -1,8 +1,8 @@
-"""YAML documents read strictly, each problem with its file, line and path.
+"""Strict parsing of YAML documents; problems have file, line and path.
 
-Operators must see every problem of a file at once, at the line where it
-stands.  The YAML reader keeps the line of each value, the structuring library
-reports the path of each problem, and this module joins the two.
+Operators must see all problems of a file at once, each with its line.  The YAML
+loader keeps the line of each value, the structuring library reports the path of
+each problem, and this module combines the two.
 """
 
 import enum
@@ -25,27 +25,27 @@
 
 T = TypeVar('T')
 Plain = object
-_MOST_SHOWN = 80
-#: The reader in C is several times as fast; not every build of PyYAML has it.
+_MAX_SHOWN = 80
+#: The loader in C is several times as fast; not every build of PyYAML has it.
 _FastLoader = getattr(yaml, 'CSafeLoader', yaml.SafeLoader)
 
 
 @attrs.frozen
 class Document:
-    """A parsed document and the line of each of its paths."""
+    """A parsed document, with the line of each value by its path."""
 
     source: str
     content: Plain
     lines: dict[str, int]
 
     def locate(self, path: str) -> int:
-        """Return the line of a path, or of its nearest parent."""
+        """Return the line of a path or its nearest known parent, else 1."""
         while path not in self.lines and path:
             path = path[: max(path.rfind('.'), path.rfind('['), 0)]
         return self.lines.get(path, 1)
 
     def report(self, path: str, message: str) -> Problem:
-        """Make a problem out of a path and what is wrong there."""
+        """Build the problem that a message describes at a path."""
         return Problem(self.source, self.locate(path), path, message)
 
 
@@ -53,16 +53,16 @@
     text: str,
     source: str,
 ) -> Result[Document, list[Problem]]:
-    """Parse YAML text; duplicate keys and aliases are problems."""
+    """Parse YAML text; duplicate keys and aliases are problems too."""
     try:
         return _read(text, source, _FastLoader)
     except (yaml.YAMLError, ValueError):
-        # The reader in C tells the line after the mistake; the other one
-        # tells where it begins.
-        return _read_slowly(text, source)
+        # The loader in C reports the line after the error; the one in Python
+        # reports where the error begins.
+        return _read_with_exact_line(text, source)
     except RecursionError:
-        # A few kilobytes of opening brackets are nested deeper than Python
-        # recurses; unguarded, the operator would see an internal error.
+        # A few kilobytes of opening brackets exceed Python's recursion limit;
+        # not handled, the operator would see an internal error.
         return Failure([_report_nesting(source)])
 
 
@@ -80,7 +80,7 @@
     return Success(Document(source, content, builder.lines))
 
 
-def _read_slowly(
+def _read_with_exact_line(
     text: str,
     source: str,
 ) -> Result[Document, list[Problem]]:
@@ -96,7 +96,7 @@
     document: Document,
     kind: type[T],
 ) -> Result[T, list[Problem]]:
-    """Turn a document into a typed record, or list all that is wrong."""
+    """Convert a document to a typed record, or list all its problems."""
     try:
         return Success(_converter.structure(document.content, kind))
     except (ClassValidationError, IterableValidationError) as error:
@@ -194,8 +194,8 @@
     path: str,
     format_note: Callable[[object], str],
 ) -> Iterator[tuple[str, str]]:
-    noted, others = error.group_exceptions()
-    for child, note in noted:
+    with_notes, others = error.group_exceptions()
+    for child, note in with_notes:
         yield from _walk_errors(child, path + format_note(note))
     for child in others:
         yield from _walk_errors(child, path)
@@ -247,7 +247,7 @@
 def _require_exactly(kind: type) -> Callable[[Plain, type], Plain]:
     def structure_exactly(value: Plain, wanted: type) -> Plain:
         if wanted is not kind:
-            # A hook for a class is asked for its enums as well.
+            # A hook for a class is also called for enums derived from it.
             return _structure_enum(value, wanted)
         # By exact type, since a bool is also an int.
         if value.__class__ is not kind:
@@ -274,7 +274,7 @@
 
 
 def _describe(value: Plain) -> str:
-    return f'{type(value).__name__} {value!r}'[:_MOST_SHOWN]
+    return f'{type(value).__name__} {value!r}'[:_MAX_SHOWN]
 
 
 _converter = _create_converter()
--- a/src/kelproad/protocol/engines.py
+++ b/src/kelproad/protocol/engines.py
@@ -1,8 +1,8 @@
-"""The API of a model engine: streams, load, held memory, cancellation.
+"""Client of a model engine's API: streams, load, held memory, cancellation.
 
-Every call names its step and the engine on failure.  Whether a completion may
-have been executed is decided here, where it is known if a byte of it can have
-been written.
+Every failure names the step and the engine.  Whether a completion may have been
+executed is decided here, where it is known if a byte of it can have been
+written.
 """
 
 import asyncio
@@ -35,10 +35,10 @@
 _INCARNATION = 'X-Engine-Incarnation'
 _CONTINUED = 'X-Continued-Bytes'
 _READ_SIZE = 65_536
-#: Bytes of a body that are written at once.
-_PIECE_BYTES = 65_536
-#: Refusals of an engine that are the request's fault, not its own.
-_CALLERS_FAULTS = types.MappingProxyType(
+#: Largest body, in bytes, that is written at once.
+_MAX_WRITE_BYTES = 65_536
+#: Codes of an engine's refusals that are the caller's fault, not the engine's.
+_CALLER_FAULTS = types.MappingProxyType(
     {
         code.value: code
         for code in (RefusalCode.TOO_LARGE, RefusalCode.BAD_REQUEST)
@@ -53,11 +53,11 @@
     Attributes
     ----------
     owner
-        Instance and incarnation that answer for the engine's memory.
+        Instance and incarnation for which the engine holds memory.
     priority
         Lower is served first.
     deadline
-        Monotonic time until which the answer is wanted.
+        Monotonic time at which the caller's deadline passes.
     """
 
     attempt_id: str
@@ -66,7 +66,7 @@
     deadline: float
 
     def headers(self) -> dict[str, str]:
-        """Build the headers that accompany the dispatch."""
+        """Build the headers of the dispatch, with the remaining seconds."""
         remaining = max(0, self.deadline - monotonic())
         return {
             'Content-Type': 'application/json',
@@ -83,14 +83,14 @@
 
 
 class EngineStream:
-    """An open stream of one attempt; close it on every path.
+    """An open stream of one attempt, which must always be closed.
 
     Attributes
     ----------
     incarnation
-        Changes when the engine restarts; empty when the engine does not say.
+        Changes when the engine restarts; empty if the engine states none.
     continued_bytes
-        Bytes of the text that the engine confirms to continue.
+        Size in bytes of the text that the engine confirms to continue.
     """
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
@@ -101,20 +101,20 @@
         self.continued_bytes = int(confirmed) if confirmed.isdecimal() else 0
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yield bytes as they arrive until the connection's end."""
+        """Yield bytes as they arrive until the end of the body."""
         async for received in self._response.content.iter_any():
             yield received
 
     def close(self) -> None:
-        """Drop the connection; the engine must be told separately."""
+        """Close the connection; the engine must be cancelled separately."""
         self._response.close()
 
 
 class EngineClient:
-    """Calls to engines, addressed by their base URL."""
+    """Client of engines, which are addressed by their base URL."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
-        """Call over a session."""
+        """Use a session whose traces record connections."""
         self._session = session
 
     async def open_stream(
@@ -125,14 +125,14 @@
         body: bytes,
         until: float,
     ) -> Result[EngineStream, Refusal]:
-        """Dispatch a completion; its answer must begin ``until`` then."""
+        """Dispatch a completion; its answer must begin by ``until``."""
         opened = await self._open('POST', url, path, attempt, until, body)
         if isinstance(opened, Failure):
             return opened
         response = opened.unwrap()
         if response.status == _OK:
             return Success(EngineStream(response))
-        return Failure(await _refuse_answered(url, response, until))
+        return Failure(await _convert_refusal(url, response, until))
 
     async def resume_stream(
         self,
@@ -141,10 +141,10 @@
         next_number: int,
         until: float,
     ) -> Result[EngineStream, Refusal]:
-        """Take up a broken stream at an event number.
+        """Resume a broken stream at an event number.
 
-        The code ``NOT_FOUND`` says that the engine holds the stream no more,
-        so that asking again is of no use.
+        The code ``NOT_FOUND`` means that the engine no longer holds the
+        stream, so that another request would fail too.
         """
         path = f'/v1/streams/{attempt.attempt_id}?from={next_number}'
         opened = await self._open('GET', url, path, attempt, until, None)
@@ -157,7 +157,7 @@
         return Failure(
             Refusal(
                 RefusalCode.NOT_FOUND,
-                f'the engine answered {response.status} to a resume',
+                f'the engine answered {response.status} to a resume request',
                 Step.RELAY,
                 peer=url,
                 ran=Ran.UNKNOWN,
@@ -171,15 +171,15 @@
         item_id: str,
         timeout: float,
     ) -> bool:
-        """Release something that the engine holds.
+        """Release an item that the engine holds.
 
-        It is idempotent, and an engine that has not seen an attempt yet will
+        This is idempotent; an engine that has not received an attempt yet will
         refuse it when it arrives.
 
         Returns
         -------
         bool
-            Whether the engine confirmed it.
+            Whether the engine confirmed the release.
         """
         body = await self._fetch(
             'DELETE',
@@ -194,7 +194,7 @@
         endpoint: str,
         timeout: float,
     ) -> EndpointReport | None:
-        """Ask an engine for its load, ``None`` when it does not answer."""
+        """Query an engine's load; ``None`` without a valid answer."""
         body = await self._fetch('GET', f'{url}/v1/load', timeout)
         if body is None:
             return None
@@ -212,7 +212,7 @@
         url: str,
         timeout: float,
     ) -> list[HeldItem] | None:
-        """List what an engine holds, ``None`` when it does not answer."""
+        """List the items an engine holds; ``None`` without a valid answer."""
         body = await self._fetch('GET', f'{url}/v1/held', timeout)
         if body is None:
             return None
@@ -263,27 +263,27 @@
         except asyncio.TimeoutError:
             return Failure(_refuse_timeout(url, attempt, progress.connected))
         except (aiohttp.ClientError, OSError) as error:
-            return Failure(_refuse_broken(url, progress.connected, error))
+            return Failure(_refuse_disconnected(url, progress.connected, error))
         return Success(response)
 
 
 def _wrap_body(body: bytes | None) -> bytes | io.BytesIO | None:
-    """Have a large body written piece by piece.
+    """Wrap a large body so that aiohttp writes it in pieces.
 
-    Written at once, all of it that the socket does not take would be copied
-    into the connection's buffer, and the event loop would stand still.
+    Written at once, everything that the socket does not accept would be copied
+    into the connection's buffer, which would block the event loop.
     """
-    if body is None or len(body) <= _PIECE_BYTES:
+    if body is None or len(body) <= _MAX_WRITE_BYTES:
         return body
     return io.BytesIO(body)
 
 
 def _refuse_timeout(url: str, attempt: Attempt, connected: bool) -> Refusal:
-    """Refuse for the deadline, or before it, for an engine that is silent."""
-    is_late = monotonic() >= attempt.deadline
+    """Refuse for the passed deadline, or before it for a silent engine."""
+    deadline_passed = monotonic() >= attempt.deadline
     return Refusal(
         RefusalCode.DEADLINE_EXCEEDED
-        if is_late
+        if deadline_passed
         else RefusalCode.ENDPOINT_FAILED,
         'the engine did not begin its answer in time',
         Step.DISPATCH if connected else Step.CONNECT,
@@ -292,7 +292,9 @@
     )
 
 
-def _refuse_broken(url: str, connected: bool, error: Exception) -> Refusal:
+def _refuse_disconnected(
+    url: str, connected: bool, error: Exception
+) -> Refusal:
     return Refusal(
         RefusalCode.ENDPOINT_FAILED,
         f'the connection failed: {error!r}',
@@ -302,28 +304,28 @@
     )
 
 
-async def _refuse_answered(
+async def _convert_refusal(
     url: str,
     response: aiohttp.ClientResponse,
     deadline: float,
 ) -> Refusal:
-    """Turn an engine's own refusal into ours; it says whether it ran."""
+    """Convert an engine's refusal; it states whether the attempt ran."""
     try:
         async with within(deadline):
             body = await response.content.read(_READ_SIZE)
-        said = msgspec.json.decode(body, type=dict[str, object])
+        reported = msgspec.json.decode(body, type=dict[str, object])
     except (
         asyncio.TimeoutError,
         aiohttp.ClientError,
         msgspec.DecodeError,
     ):
-        said = {}
+        reported = {}
     finally:
         response.close()
-    ran = Ran.NO if said.get('ran') == 'no' else Ran.UNKNOWN
+    ran = Ran.NO if reported.get('ran') == 'no' else Ran.UNKNOWN
     return Refusal(
-        _CALLERS_FAULTS.get(said.get('code'), RefusalCode.ENDPOINT_FAILED),
-        f'the engine answered {response.status}: {said.get("message", "")}',
+        _CALLER_FAULTS.get(reported.get('code'), RefusalCode.ENDPOINT_FAILED),
+        f'the engine answered {response.status}: {reported.get("message", "")}',
         Step.DISPATCH,
         peer=url,
         ran=ran,
