--- a/src/kelproad/protocol/events.py
+++ b/src/kelproad/protocol/events.py
@@ -5,8 +5,8 @@
     id: <attempt id>.<number from 0>
     data: <JSON, or [DONE] in the last one>
 
-The relay is the hottest path of the system, so events are told apart and
-checked without decoding their JSON.
+Relaying is the hottest path of the system, so events are split and checked
+without decoding their JSON.
 """
 
 import attrs
@@ -17,10 +17,10 @@
 DONE = b'[DONE]'
 _SEPARATOR = b'\n\n'
 _DATA = b'\ndata: '
-#: An event larger than this is no event of an engine.
+#: Bytes; engines send no larger event.
 MAX_EVENT_BYTES = 1_048_576
-_MOST_SHOWN = 80
-#: How the data of an engine's own error begins.
+_MAX_SHOWN = 80
+#: Beginnings of the data of an engine's own error.
 _ERROR_STARTS = (b'{"error"', b'{"object":"error"', b'{"object": "error"')
 
 
@@ -30,36 +30,36 @@
 
 @attrs.frozen
 class Event:
-    """One event of the attempt, in its place."""
+    """One event of the attempt, with its number from 0."""
 
     number: int
     payload: bytes
 
     @property
     def terminal(self) -> bool:
-        """Whether the answer is complete with this event."""
+        """Whether this event completes the answer."""
         return self.payload == DONE
 
     @property
     def failed(self) -> bool:
-        """Whether the engine tells of an error in place of a token.
+        """Whether the engine reports an error instead of a token.
 
-        Engines end such a stream with ``[DONE]`` all the same.
+        Engines end such a stream with ``[DONE]`` too.
         """
         return self.payload.startswith(_ERROR_STARTS)
 
 
 class EventSequence:
-    """Cuts a byte stream into events and lets through only the next ones.
+    """Splits a byte stream into events and accepts them in sequence only.
 
-    Events of another attempt (crossed answers) and events that were already
-    let through (doubled or late ones), or come after the end, are dropped and
-    counted; a missing event is an error, because what follows it must not
+    Events of another attempt (crossed answers), events that were already
+    accepted (duplicate or late ones) and events after the end are dropped and
+    counted; a missing event is an error, because the events after it must not
     reach the caller.
     """
 
     def __init__(self, attempt_id: str, next_number: int = 0) -> None:
-        """Expect the events of an attempt from a number on."""
+        """Expect events of an attempt, the first with ``next_number``."""
         self._prefix = f'id: {attempt_id}.'.encode()
         self._buffer = b''
         self.next_number = next_number
@@ -68,22 +68,22 @@
         self.repeated = 0
 
     def feed(self, received: bytes) -> list[Event]:
-        """Take bytes as they arrive and return the events they complete.
+        """Accept received bytes and return the events that they complete.
 
         Raises
         ------
         SequenceError
-            When an event is missing, or the bytes are no events.
+            When an event is missing or malformed, or too large.
         """
         *blocks, rest = (self._buffer + received).split(_SEPARATOR)
         self._buffer = rest
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise SequenceError('an event has no end')
+            raise SequenceError('an event is too large')
         accepted = [self._accept(block) for block in blocks]
         return [event for event in accepted if event is not None]
 
     def restart(self) -> None:
-        """Forget a half-received event before a stream is resumed."""
+        """Discard a partial event before the stream is resumed."""
         self._buffer = b''
 
     def _accept(self, block: bytes) -> Event | None:
@@ -92,14 +92,14 @@
         head, separator, payload = block.partition(_DATA)
         digits = head[len(self._prefix) :]
         if not separator or not digits.isdigit():
-            raise SequenceError(f'not an event: {block[:_MOST_SHOWN]!r}')
+            raise SequenceError(f'not an event: {block[:_MAX_SHOWN]!r}')
         number = int(digits)
         if number < self.next_number or self.ended:
             self.repeated += 1
             return None
         if number > self.next_number:
             raise SequenceError(
-                f'event {number} came in place of {self.next_number}',
+                f'received event {number}, expected {self.next_number}',
             )
         self.next_number += 1
         self.ended = payload == DONE
@@ -107,5 +107,5 @@
 
     def _drop_crossed(self, block: bytes) -> None:
         if not block.startswith(b'id: '):
-            raise SequenceError(f'not an event: {block[:_MOST_SHOWN]!r}')
+            raise SequenceError(f'not an event: {block[:_MAX_SHOWN]!r}')
         self.crossed += 1
--- a/src/kelproad/protocol/eventstreams.py
+++ b/src/kelproad/protocol/eventstreams.py
@@ -1,8 +1,8 @@
-"""Event streams that are relayed unread: whole events, in order, none twice.
+"""Event streams relayed undecoded: complete events, in order, none twice.
 
-An endpoint numbers the events of a stream and may break off in the midst of
-one.  Only whole events go to the caller, so that a stream can be taken up at
-another endpoint behind the last one.
+An endpoint numbers the events of a stream and may abort it in the middle of
+one.  Only complete events are sent to the caller, so that another endpoint can
+resume the stream after the last one.
 """
 
 import attrs
@@ -27,41 +27,41 @@
 
 
 class EventCutter:
-    """Cuts a byte stream into events and checks their numbers.
+    """Splits a byte stream into events and checks their numbers.
 
     Attributes
     ----------
     last_number
-        Number of the last event let through, ``None`` before the first.
+        Number of the last event accepted, ``None`` before the first.
     """
 
     def __init__(self, last_number: int | None = None) -> None:
-        """Expect the event after a number, or any one as the first."""
+        """Expect the event after ``last_number``; with ``None``, any."""
         self.last_number = last_number
         self.repeated = 0
         self._buffer = b''
 
     @property
     def within_event(self) -> bool:
-        """Whether part of an event is held back."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def restart(self) -> None:
-        """Forget a half-received event before the stream is resumed."""
+        """Discard a partial event before the stream is resumed."""
         self._buffer = b''
 
     def feed(self, received: bytes) -> list[NumberedEvent]:
-        """Take bytes as they arrive and return the events they complete.
+        """Accept received bytes and return the events that they complete.
 
         Raises
         ------
         SequenceError
-            When an event is missing or has no end.
+            When an event is missing or too large.
         """
         *blocks, rest = (self._buffer + received).split(_SEPARATOR)
         self._buffer = rest
         if len(rest) > MAX_EVENT_BYTES:
-            raise SequenceError('an event has no end')
+            raise SequenceError('an event is too large')
         accepted = [self._accept(block) for block in blocks]
         return [event for event in accepted if event is not None]
 
@@ -76,7 +76,7 @@
                 return None
             if number > self.last_number + 1:
                 raise SequenceError(
-                    f'event {number} came after {self.last_number}',
+                    f'received event {number} after {self.last_number}',
                 )
         self.last_number = number
         return NumberedEvent(number, encoded)
--- a/src/kelproad/protocol/files.py
+++ b/src/kelproad/protocol/files.py
@@ -1,7 +1,7 @@
-"""Operators' files: what they declare, checked completely before use.
+"""Parsing and validation of operators' files, complete before their use.
 
-A file is checked on its own (types, ranges, addresses) and then together with
-the other files in force (names that stand twice, references to nothing).
+A file is checked alone (types, ranges, addresses) and then together with the
+other files in force (duplicate names, references to undeclared ones).
 """
 
 import re
@@ -46,13 +46,13 @@
     source
         Name of the file as problems show it.
     others
-        The files in force by name; one that has this file's name is about to
-        be replaced and is left out.
+        The files in force by name; one with this file's name is to be
+        replaced and is ignored.
     alone
-        Leave out the checks against other files.
+        Omit the checks against other files.
     texts
-        Texts of the other files by name, to tell the line of a problem that
-        this file brings about in another one.
+        Texts of the other files by name, for the line of a problem that this
+        file causes in another one.
 
     Returns
     -------
@@ -74,9 +74,9 @@
     others: Mapping[str, FileContent],
     texts: Mapping[str, str],
 ) -> list[Problem]:
-    """Find what would be wrong with the other files without this one."""
+    """Find the problems of the other files if this one is removed."""
     if name not in others:
-        return [Problem(name, 1, '$', 'no such file is in force')]
+        return [Problem(name, 1, '$', 'there is no such file in force')]
     remaining = [content for other, content in others.items() if other != name]
     return [_locate(found, texts) for found in check_together(remaining)]
 
@@ -100,7 +100,7 @@
 
 
 def _locate(found: Finding, texts: Mapping[str, str]) -> Problem:
-    """Point at the line of another file, which is read again for that."""
+    """Build a problem of another file, parsed again to find the line."""
     source = f'{found.file} (in force)'
     document = read_document(texts.get(found.file, ''), source)
     unread = Document(source, None, {})
@@ -122,16 +122,16 @@
 
 def _check_name(name: str, path: str) -> Iterator[tuple[str, str]]:
     if not _NAME.fullmatch(name):
-        allowed = '1 to 64 small letters, digits, "." and "-"'
-        yield path, f'{name!r} is no name: {allowed}'
+        allowed = '1 to 64 lower-case letters, digits, "." and "-"'
+        yield path, f'{name!r} is not a valid name: {allowed}'
 
 
 def _check_service(service: Service, path: str) -> Iterator[tuple[str, str]]:
     yield from _check_name(service.name, f'{path}.name')
     if service.kind is ServiceKind.MODEL and not service.model:
-        yield f'{path}.model', 'a model service names its model'
+        yield f'{path}.model', 'required for a model service'
     if not service.endpoint_groups:
-        yield f'{path}.endpoint_groups', 'at least one group is needed'
+        yield f'{path}.endpoint_groups', 'at least one group is required'
     yield from _require_positive(
         service.bytes_per_token,
         f'{path}.bytes_per_token',
@@ -150,7 +150,7 @@
 def _check_segments(service: Service, path: str) -> Iterator[tuple[str, str]]:
     segmenting = service.segments
     if service.kind is not ServiceKind.MODEL or not service.may_repeat:
-        yield path, 'only idempotent model services answer in parts'
+        yield path, 'allowed only for idempotent model services'
     if not segmenting.boundary:
         yield f'{path}.boundary', 'must not be empty'
     for name in ('tokens', 'answer_tokens', 'most_parts', 'parallel'):
@@ -168,7 +168,7 @@
         if not _DIGEST.fullmatch(digest):
             yield (
                 f'{path}.key_digests[{index}]',
-                'not a SHA-256 digest in small hexadecimal digits',
+                'not a SHA-256 digest in lower-case hexadecimal',
             )
     limits = workspace.limits
     for name in (
@@ -190,12 +190,12 @@
         f'{path}.prefill_tokens_per_second',
     )
     for index, endpoint in enumerate(group.endpoints):
-        place = f'{path}.endpoints[{index}]'
-        yield from _check_name(endpoint.name, f'{place}.name')
+        item = f'{path}.endpoints[{index}]'
+        yield from _check_name(endpoint.name, f'{item}.name')
         try:
             Address.from_text(endpoint.address)
         except AddressError as error:
-            yield f'{place}.address', str(error)
+            yield f'{item}.address', str(error)
 
 
 def _require_positive(number: float, path: str) -> Iterator[tuple[str, str]]:
--- a/src/kelproad/protocol/messages.py
+++ b/src/kelproad/protocol/messages.py
@@ -1,7 +1,7 @@
 """Messages between instances: typed, encoded as MessagePack, authenticated.
 
 An envelope carries one body and a tag over both by the site's shared key.
-The receiver takes nothing from a message whose tag does not match.
+The receiver ignores a message whose tag does not match.
 """
 
 import hashlib
@@ -30,25 +30,25 @@
 ]
 
 _TAG_BYTES = 16
-#: Records repeat their field names; the lowest level already takes them out.
+#: Records repeat their field names; the lowest level already removes these.
 _COMPRESSION = 1
 _MAX_UNPACKED = 8 * MAX_MESSAGE_BYTES
 
 
 class MessageError(Exception):
-    """The bytes are no message of this site."""
+    """The bytes are not a valid message from this site."""
 
 
 @attrs.frozen
 class Gossip:
-    """Records of members, the sender's own first."""
+    """Records of members, that of the sender first."""
 
     members: list[Member]
 
 
 @attrs.frozen
 class ChangesWanted:
-    """Ask the receiver for the configuration changes after a revision."""
+    """Query for the configuration changes after a revision."""
 
     sender: str
     reply_to: str
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class FileChange:
-    """One accepted file, as the store holds it; empty text means removed."""
+    """One accepted file, as it is stored; an empty text means removed."""
 
     name: str
     generation: int
@@ -76,12 +76,12 @@
     ----------
     files
         In order of their revisions.  One with a digest but no text is a
-        version that the sender itself could not read.
+        version that the sender could not read either.
     reply_to
-        Peer address of which the rest is asked.
+        Peer address that is queried for the rest.
     complete
-        Whether these are all the changes; otherwise the rest is asked for
-        after the revision of the last one.
+        Whether these are all changes; otherwise the rest is queried, after
+        the revision of the last one.
     """
 
     sender: str
@@ -98,10 +98,10 @@
 
 @attrs.frozen
 class _PackedGossip:
-    """A gossip with the reports of all members as one list a field.
+    """Gossip with the reports of all members as one list per field.
 
-    Field by field, compression finds more alike, and a report takes 22 bytes
-    in place of 37; reports are most of what instances send each other.
+    Values of the same field compress better: a report takes 22 bytes instead
+    of 37.  Reports are most of the traffic between instances.
 
     Attributes
     ----------
@@ -119,7 +119,7 @@
 
     @classmethod
     def from_gossip(cls, gossip: Gossip) -> Self:
-        """Lay the reports out by field."""
+        """Transpose the reports to lists by field."""
         reports = [
             report for member in gossip.members for report in member.reports
         ]
@@ -133,12 +133,12 @@
         )
 
     def unpack(self) -> Gossip:
-        """Give every member its reports again.
+        """Reassign the reports to their members.
 
         Raises
         ------
         ValueError
-            When the lists differ in length.
+            When the lists differ in length, or the counts do not match.
         """
         rows = zip(*self.columns.values(), strict=True)
         fields = [dict(zip(self.columns, row, strict=True)) for row in rows]
@@ -176,7 +176,7 @@
 
 
 def encode_message(message: PeerMessage, key: bytes) -> bytes:
-    """Encode a message with its tag in front."""
+    """Encode and compress a message, and prepend its tag."""
     packed_body = (
         _PackedGossip.from_gossip(message)
         if isinstance(message, Gossip)
@@ -194,12 +194,12 @@
     received: bytes,
     key: bytes,
 ) -> Result[PeerMessage, MessageError]:
-    """Check the tag, then decode."""
+    """Check the tag, then decompress and decode the message."""
     tag, packed = received[:_TAG_BYTES], received[_TAG_BYTES:]
     if not hmac.compare_digest(tag, _compute_tag(packed, key)):
         return Failure(MessageError('the tag does not match'))
     try:
-        # Bounded: a few bytes may claim to be many when unpacked.
+        # Bounded, since a small message may decompress to a huge one.
         envelope = zlib.decompressobj().decompress(packed, _MAX_UNPACKED)
         opened = msgspec.msgpack.decode(envelope, type=_Envelope)
         kind = _KINDS[opened.kind]
@@ -207,7 +207,7 @@
         is_packed = isinstance(body, _PackedGossip)
         return Success(body.unpack() if is_packed else body)
     except KeyError:
-        return Failure(MessageError('unknown kind of message'))
+        return Failure(MessageError('unknown message kind'))
     except (ValueError, zlib.error) as error:
         return Failure(MessageError(str(error)))
 
--- a/src/kelproad/protocol/orders.py
+++ b/src/kelproad/protocol/orders.py
@@ -1,4 +1,4 @@
-"""The orders API of a model engine: its state, and orders to change it."""
+"""Client of a model engine's orders API: its state, and orders to change it."""
 
 import asyncio
 import enum
@@ -13,34 +13,34 @@
 
 _OK = 200
 _CONFLICT = 409
-#: Seconds after which an order that was not answered is given up.
+#: Seconds to wait for the answer to an order.
 ORDER_TIMEOUT = 1.0
 
 
 class OrderOutcome(enum.StrEnum):
-    """What is known of an order after it was given."""
+    """Known result of an order that was sent."""
 
     ACCEPTED = 'accepted'
     #: The engine has seen a higher fencing token.
     FENCED = 'fenced'
     REFUSED = 'refused'
-    #: No answer; the engine may have taken it, or may yet.
+    #: No answer; the engine may have accepted the order, or may still do so.
     UNKNOWN = 'unknown'
 
 
 class OrderClient:
-    """Calls the orders API of engines.
+    """Client of the orders API of engines.
 
-    The session must not send again by itself: a repeated order could arrive
-    after the lease under which it was given.
+    The session must not retry by itself: a repeated order could arrive after
+    the lease under which it was sent.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
-        """Call over a session that uses each connection once."""
+        """Use a session that makes a new connection for each request."""
         self._session = session
 
     async def read_state(self, url: str, timeout: float) -> EngineState | None:
-        """Ask an engine for its state, ``None`` when it does not answer."""
+        """Query an engine's state; ``None`` without a valid answer."""
         try:
             async with within(monotonic() + timeout):
                 async with self._session.get(
@@ -58,7 +58,7 @@
             return None
 
     async def give(self, url: str, order: Order) -> OrderOutcome:
-        """Give an order; it asks for a state, so it may be repeated."""
+        """Send an order; as it names a target state, it may be repeated."""
         try:
             async with within(monotonic() + ORDER_TIMEOUT):
                 async with self._session.post(
--- a/src/kelproad/protocol/plain.py
+++ b/src/kelproad/protocol/plain.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: one HTTP exchange, answered whole."""
+"""Client of plain services: one HTTP request with its complete answer."""
 
 import asyncio
 
@@ -18,10 +18,10 @@
 
 __all__ = ['PlainAnswer', 'PlainCall', 'PlainClient', 'leave_out']
 
-#: Largest answer of a plain service that is passed on.
+#: Largest answer of a plain service that is forwarded.
 MAX_ANSWER_BYTES = 16_777_216
-#: Headers that concern one connection.
-_OF_CONNECTION = frozenset(
+#: Headers that apply to a single connection (hop-by-hop).
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -37,9 +37,9 @@
         'upgrade',
     ),
 )
-#: Headers by which an endpoint knows whom it serves and for whom it holds
-#: memory.  Only the system sets them; a caller could pose as somebody else.
-_OF_SYSTEM = frozenset(
+#: Headers that identify to an endpoint the caller and the owner of the memory
+#: it holds.  Only the system sets them, as a caller could impersonate another.
+_SYSTEM_HEADERS = frozenset(
     (
         'x-attempt-id',
         'x-deadline-seconds',
@@ -49,21 +49,22 @@
         'x-workspace',
     ),
 )
-#: The body reaches the endpoint decoded, and the API key stays here.
-_OF_CALLER = frozenset(('authorization', 'content-encoding'))
+#: The body is sent to the endpoint decoded, and the API key is not forwarded.
+_CALLER_HEADERS = frozenset(('authorization', 'content-encoding'))
 #: Headers of an answer that only the system sets.
-_OF_ANSWER = frozenset(('idempotency-replayed', 'x-request-id'))
-_DISPATCH_LATE = 'the deadline passed before the call was sent'
+_SYSTEM_ANSWER_HEADERS = frozenset(('idempotency-replayed', 'x-request-id'))
+_NOT_SENT_IN_TIME = 'the deadline passed before the call was sent'
 
 
 @attrs.frozen
 class PlainCall:
-    """One call as the endpoint gets it.
+    """One call to an endpoint.
 
     Attributes
     ----------
     headers
-        The caller's headers; what an endpoint may not see is left out.
+        The caller's headers; those not meant for endpoints are removed when
+        the call is sent.
     system_headers
         Headers that only the system sets.
     """
@@ -78,7 +79,7 @@
 
 @attrs.frozen
 class PlainAnswer:
-    """The whole answer of an endpoint."""
+    """The complete answer of an endpoint, with filtered headers."""
 
     status: int
     headers: CIMultiDict[str]
@@ -86,10 +87,10 @@
 
 
 class PlainClient:
-    """Calls to plain endpoints, never repeated by the HTTP library."""
+    """Client of plain endpoints; aiohttp never retries its calls."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
-        """Call over a session that uses each connection once."""
+        """Use a session that makes a new connection for each request."""
         self._session = session
 
     async def call(
@@ -97,16 +98,16 @@
         url: str,
         call: PlainCall,
     ) -> Result[PlainAnswer, Refusal]:
-        """Make one call and read its whole answer."""
+        """Make one call and read its complete answer."""
         progress = ConnectionProgress()
         if monotonic() >= call.deadline:
-            return Failure(_refuse(url, progress, _DISPATCH_LATE, late=True))
+            return Failure(_refuse(url, progress, _NOT_SENT_IN_TIME, late=True))
         try:
             async with within(call.deadline):
                 return await self._exchange(url, call, progress)
         except asyncio.TimeoutError:
-            # Connecting has a bound of its own; when that passed first, there
-            # is time left for another endpoint.
+            # Connecting has its own time-out; if that passed first, there is
+            # time left for another endpoint.
             late = monotonic() >= call.deadline
             return Failure(_refuse(url, progress, 'no answer in time', late))
         except (aiohttp.ClientError, OSError) as error:
@@ -136,31 +137,31 @@
             while not response.content.at_eof():
                 received += await response.content.read(MAX_ANSWER_BYTES)
                 if len(received) > MAX_ANSWER_BYTES:
-                    return Failure(_refuse_long(url))
+                    return Failure(_refuse_long_answer(url))
             headers = filter_answer_headers(response.headers)
         return Success(PlainAnswer(response.status, headers, received))
 
 
 def filter_request_headers(headers: CIMultiDict[str]) -> CIMultiDict[str]:
-    """Copy the headers of a caller that an endpoint may see."""
-    return leave_out(headers, _OF_SYSTEM | _OF_CALLER)
+    """Copy those headers of a caller that endpoints may receive."""
+    return leave_out(headers, _SYSTEM_HEADERS | _CALLER_HEADERS)
 
 
 def filter_answer_headers(headers: CIMultiDict[str]) -> CIMultiDict[str]:
-    """Copy the headers of an endpoint's answer that the caller may see."""
-    return leave_out(headers, _OF_ANSWER)
+    """Copy those headers of an answer that the caller may receive."""
+    return leave_out(headers, _SYSTEM_ANSWER_HEADERS)
 
 
 def leave_out(
     headers: CIMultiDict[str],
     unwanted: frozenset[str],
 ) -> CIMultiDict[str]:
-    """Copy headers without unwanted ones and those of the connection.
+    """Copy headers without unwanted and hop-by-hop ones.
 
-    ``Connection`` may name further headers that concern it alone.
+    ``Connection`` may name further hop-by-hop headers.
     """
     named = ','.join(headers.getall('Connection', ())).lower().split(',')
-    dropped = unwanted | _OF_CONNECTION | {name.strip() for name in named}
+    dropped = unwanted | _HOP_BY_HOP_HEADERS | {name.strip() for name in named}
     return CIMultiDict(
         (name, text)
         for name, text in headers.items()
@@ -183,7 +184,7 @@
     )
 
 
-def _refuse_long(url: str) -> Refusal:
+def _refuse_long_answer(url: str) -> Refusal:
     return Refusal(
         RefusalCode.ENDPOINT_FAILED,
         f'the answer is longer than {MAX_ANSWER_BYTES} bytes',
--- a/src/kelproad/protocol/platform.py
+++ b/src/kelproad/protocol/platform.py
@@ -1,10 +1,10 @@
-"""The platform's service: tables, objects and the list of instances.
+"""Client of the platform's service: tables, objects, list of instances.
 
 The platform has a transactional table with conditional writes, an object
-store and a lagging list of instances and endpoints.  All calls are bounded in
-time.  A write whose answer is lost may have taken effect; that case is told
-apart from a write that certainly did not, because callers must settle it by
-reading back.
+store and a lagging list of instances and endpoints.  All calls have a timeout.
+A write whose answer is lost may have taken effect; this is distinguished from a
+write that certainly did not, because callers must resolve it by reading the
+rows again.
 """
 
 from collections.abc import Sequence
@@ -27,8 +27,8 @@
 _OK = 200
 _NOT_FOUND = 404
 _CONFLICT = 409
-_DOUBTFUL = frozenset((500, 502, 504))
-_MOST_SHOWN = 200
+_OUTCOME_UNKNOWN_STATUSES = frozenset((500, 502, 504))
+_MAX_SHOWN = 200
 _OBJECT_PATH = '/objects/'
 
 
@@ -48,7 +48,7 @@
 
 
 class PlatformClient:
-    """Calls to the platform, each bounded by a timeout in seconds."""
+    """Client of the platform; each call has a timeout in seconds."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         session: aiohttp.ClientSession,
         counters: Counters,
     ) -> None:
-        """Call the platform at an address over a session."""
+        """Use a session, and count the calls by operation and outcome."""
         self._address = address
         self._session = session
         self._counters = counters
@@ -68,8 +68,8 @@
     ) -> Result[None, StoreError]:
         """Write all rows or none.
 
-        A lost answer gives ``UNKNOWN``: the caller reads the rows back and
-        compares what it finds with what it meant to write.
+        A lost answer gives ``UNKNOWN``: the caller must read the rows and
+        compare them with those that it wrote.
         """
         answer = await self._call(
             'transact',
@@ -86,7 +86,7 @@
         key: str,
         timeout: float,
     ) -> Result[Row | None, StoreError]:
-        """Read one row; ``None`` when there is none."""
+        """Read one row; ``None`` if it does not exist."""
         answer = await self._call(
             'read_row',
             'GET',
@@ -106,7 +106,7 @@
         after: str = '',
         limit: int = 500,
     ) -> Result[list[Row], StoreError]:
-        """Read rows in order of their keys, those after a key."""
+        """Read rows with a key prefix, in order of keys, after a key."""
         answer = await self._call(
             'scan_rows',
             'GET',
@@ -124,7 +124,7 @@
         body: bytes,
         timeout: float,
     ) -> Result[None, StoreError]:
-        """Store an object; storing the same one again is harmless."""
+        """Store an object; this is idempotent."""
         answer = await self._call(
             'put_object',
             'PUT',
@@ -139,7 +139,7 @@
         key: str,
         timeout: float,
     ) -> Result[bytes, StoreError]:
-        """Fetch an object; one that is missing counts as damaged."""
+        """Fetch an object; a missing one gives ``DAMAGED``."""
         return await self._call(
             'get_object', 'GET', f'{_OBJECT_PATH}{key}', timeout
         )
@@ -148,7 +148,7 @@
         self,
         timeout: float,
     ) -> Result[Listing, StoreError]:
-        """Ask for the lagging list of instances."""
+        """Query the list of instances, which lags behind the truth."""
         answer = await self._call('list_instances', 'GET', '/members', timeout)
         return answer.bind(lambda body: self._decode(body, Listing))
 
@@ -171,25 +171,27 @@
         )
         if isinstance(answered, Failure):
             failure = answered.failure()
-            # A read may be tried again at will; only a write that was sent
-            # stays unknown.
-            doubtful = failure.sent and method != 'GET'
+            # A read may be retried freely; only the outcome of a write that
+            # was sent is unknown.
+            is_unknown = failure.sent and method != 'GET'
             outcome = self._fail(
                 StoreErrorKind.UNKNOWN
-                if doubtful
+                if is_unknown
                 else StoreErrorKind.UNAVAILABLE,
                 operation,
                 failure.reason,
             )
         else:
-            outcome = self._sort(answered.unwrap(), operation, method, path)
+            outcome = self._check_reply(
+                answered.unwrap(), operation, method, path
+            )
         label = 'ok' if isinstance(outcome, Success) else outcome.failure().kind
         self._counters.store_calls.inc(
             {'operation': operation, 'outcome': str(label)},
         )
         return outcome
 
-    def _sort(
+    def _check_reply(
         self,
         reply: Reply,
         operation: str,
@@ -201,7 +203,7 @@
         return self._fail(
             _classify_status(reply.status, method, path),
             operation,
-            f'answered {reply.status}: {reply.body[:_MOST_SHOWN]!r}',
+            f'answered {reply.status}: {reply.body[:_MAX_SHOWN]!r}',
             _read_conflicts(reply.body) if reply.status == _CONFLICT else [],
         )
 
@@ -234,14 +236,14 @@
 
 
 def _classify_status(status: int, method: str, path: str) -> StoreErrorKind:
-    """Tell what an error status says of a call.
+    """Return the kind of error that a status means for a call.
 
     A server or gateway that answers 500, 502 or 504 may have written before
-    it failed; only a write that was refused is certainly not there.
+    it failed; only a refused write has certainly not taken effect.
     """
     if status == _CONFLICT:
         return StoreErrorKind.CONFLICT
-    if method != 'GET' and status in _DOUBTFUL:
+    if method != 'GET' and status in _OUTCOME_UNKNOWN_STATUSES:
         return StoreErrorKind.UNKNOWN
     if status == _NOT_FOUND and path.startswith(_OBJECT_PATH):
         return StoreErrorKind.DAMAGED
--- a/src/kelproad/protocol/references.py
+++ b/src/kelproad/protocol/references.py
@@ -1,8 +1,8 @@
-"""Checks of operators' files against one another.
+"""Checks of operators' files against each other.
 
-A name may be declared once in the whole site, and whatever a file refers to
-must be declared in some file.  Each finding points at the very item, in
-whichever file it stands.
+A name may be declared only once in the site, and each name that a file refers
+to must be declared in some file.  Each finding has the file and path of the
+wrong item.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -22,12 +22,12 @@
 
 @attrs.frozen
 class Finding:
-    """Something wrong between files, and where.
+    """A problem between files, with the place of the wrong item.
 
     Attributes
     ----------
     file
-        Name of the file in which the item stands.
+        Name of the file with the item.
     """
 
     file: str
@@ -36,8 +36,8 @@
 
 
 @attrs.frozen
-class _Place:
-    """Where a name is declared."""
+class _Declaration:
+    """The place and kind of a declaration of a name."""
 
     file: str
     path: str
@@ -46,58 +46,58 @@
 
 
 def check_together(contents: Iterable[FileContent]) -> list[Finding]:
-    """Find all that is wrong between files."""
+    """Find duplicate declarations and references to undeclared names."""
     everything = list(contents)
     return [
-        *_find_doubled_names(everything),
+        *_find_duplicate_names(everything),
         *_find_dangling_references(everything),
     ]
 
 
-def _find_doubled_names(contents: list[FileContent]) -> Iterator[Finding]:
-    first: dict[tuple[str, str], _Place] = {}
+def _find_duplicate_names(contents: list[FileContent]) -> Iterator[Finding]:
+    first: dict[tuple[str, str], _Declaration] = {}
     for content in contents:
-        for place in _list_places(content):
-            earlier = first.setdefault((place.kind, place.name), place)
-            if earlier is not place:
+        for found in _list_declarations(content):
+            earlier = first.setdefault((found.kind, found.name), found)
+            if earlier is not found:
                 yield Finding(
-                    place.file,
-                    place.path,
-                    f'{place.kind} {place.name!r} is declared already in '
+                    found.file,
+                    found.path,
+                    f'{found.kind} {found.name!r} is already declared in '
                     f'{earlier.file!r} at {earlier.path}',
                 )
 
 
-def _list_places(content: FileContent) -> Iterator[_Place]:
+def _list_declarations(content: FileContent) -> Iterator[_Declaration]:
     file = content.name
     if content.deployment:
-        yield _Place(file, '$.deployment', 'deployment', 'the')
+        yield _Declaration(file, '$.deployment', 'deployment', 'the')
     for index, service in enumerate(content.services):
         path = f'$.services[{index}]'
-        yield _Place(file, f'{path}.name', service.name, 'service')
+        yield _Declaration(file, f'{path}.name', service.name, 'service')
         if service.model:
-            yield _Place(file, f'{path}.model', service.model, 'model')
+            yield _Declaration(file, f'{path}.model', service.model, 'model')
     for index, workspace in enumerate(content.workspaces):
         path = f'$.workspaces[{index}]'
-        yield _Place(file, f'{path}.name', workspace.name, 'workspace')
+        yield _Declaration(file, f'{path}.name', workspace.name, 'workspace')
         for number, digest in enumerate(workspace.key_digests):
-            place = f'{path}.key_digests[{number}]'
-            yield _Place(file, place, digest, 'key digest')
+            key_path = f'{path}.key_digests[{number}]'
+            yield _Declaration(file, key_path, digest, 'key digest')
     for index, group in enumerate(content.endpoint_groups):
         path = f'$.endpoint_groups[{index}]'
-        yield _Place(file, f'{path}.name', group.name, 'endpoint group')
-        yield from _list_endpoint_places(file, path, group)
+        yield _Declaration(file, f'{path}.name', group.name, 'endpoint group')
+        yield from _list_endpoint_declarations(file, path, group)
 
 
-def _list_endpoint_places(
+def _list_endpoint_declarations(
     file: str,
     path: str,
     group: EndpointGroup,
-) -> Iterator[_Place]:
+) -> Iterator[_Declaration]:
     for index, endpoint in enumerate(group.endpoints):
-        place = f'{path}.endpoints[{index}]'
-        yield _Place(file, f'{place}.name', endpoint.name, 'endpoint')
-        yield _Place(file, f'{place}.address', endpoint.address, 'address')
+        item = f'{path}.endpoints[{index}]'
+        yield _Declaration(file, f'{item}.name', endpoint.name, 'endpoint')
+        yield _Declaration(file, f'{item}.address', endpoint.address, 'address')
 
 
 def _find_dangling_references(
@@ -130,19 +130,19 @@
 ) -> Iterator[Finding]:
     for index, service in enumerate(content.services):
         for number, name in enumerate(service.endpoint_groups):
-            wrong = _find_wrong_group(service, name, groups.get(name))
-            if wrong:
+            message = _check_group(service, name, groups.get(name))
+            if message:
                 path = f'$.services[{index}].endpoint_groups[{number}]'
-                yield Finding(content.name, path, wrong)
+                yield Finding(content.name, path, message)
 
 
-def _find_wrong_group(
+def _check_group(
     service: Service,
     name: str,
     group: EndpointGroup | None,
 ) -> str:
     if group is None:
-        return f'{service.name!r} uses no known endpoint group: {name!r}'
+        return f'{service.name!r} uses an unknown endpoint group: {name!r}'
     wanted = (
         EndpointKind.ENGINE
         if service.kind is ServiceKind.MODEL
@@ -166,7 +166,7 @@
                 yield Finding(
                     content.name,
                     f'$.workspaces[{index}].services[{number}]',
-                    f'{workspace.name!r} uses no known service: {name!r}',
+                    f'{workspace.name!r} uses an unknown service: {name!r}',
                 )
 
 
--- a/src/kelproad/protocol/settings.py
+++ b/src/kelproad/protocol/settings.py
@@ -1,8 +1,8 @@
 """Settings of one instance: its addresses, zone, keys and logs.
 
-Settings say who this process is; what it serves comes from the configuration
-that operators apply.  A variable ``KELPROAD_<NAME>`` in the environment takes
-the place of the file's value, which keeps secrets out of files.
+Settings define this process; the services come from the configuration that
+operators apply.  An environment variable ``KELPROAD_<NAME>`` overrides the
+file's value, which keeps secrets out of files.
 """
 
 import enum
@@ -20,11 +20,11 @@
 __all__ = ['LogFormat', 'Settings', 'load_settings']
 
 _ENVIRONMENT_PREFIX = 'KELPROAD_'
-_MINIMUM_KEY_LENGTH = 16
+_MIN_KEY_LENGTH = 16
 
 
 class LogFormat(enum.StrEnum):
-    """How log lines are written."""
+    """Format of the log lines."""
 
     PLAIN = 'plain'
     JSON = 'json'
@@ -37,7 +37,7 @@
     Attributes
     ----------
     caller_address, operator_address, peer_address
-        ``IP:port`` on which callers, operators and other instances connect.
+        ``IP:port`` to which callers, operators and other instances connect.
     platform_address
         ``IP:port`` of the platform's service.
     peer_key
@@ -45,22 +45,23 @@
     operator_digests
         SHA-256 digest, in hexadecimal, of each operator's token, by name.
     peer_advertised
-        Peer address as other instances reach it; left out, ``peer_address``.
+        Peer address as other instances reach it; ``peer_address`` if omitted.
     seeds
-        Peer addresses tried while the platform cannot be asked.
+        Peer addresses used while the platform cannot be reached.
     region
         Region of the zone; links between regions are used sparingly.
     drain_grace
-        Seconds during which a stopping instance still takes the requests that
-        a lagging balancer sends.
+        Seconds during which a stopping instance still accepts the requests
+        that a lagging load balancer sends.
     drain_limit
         Seconds after which a stopping instance no longer waits for requests.
     lease_seconds
-        Seconds for which the holder of a zone's orders may give them without
-        renewing its lease; the same at every instance.
+        Seconds for which the lease holder of a zone may send orders without
+        renewing its lease; must be the same at every instance.
     forgotten_after
         Seconds of silence after which an instance that the platform no longer
-        lists counts as gone, and what engines hold for it is released.
+        lists counts as departed, and the memory that engines hold for it is
+        released.
     """
 
     instance: str
@@ -84,7 +85,7 @@
 
     @property
     def reachable_peer_address(self) -> str:
-        """Address under which other instances send to this one."""
+        """Peer address that other instances use for this one."""
         return self.peer_advertised or self.peer_address
 
 
@@ -92,16 +93,16 @@
     path: pathlib.Path,
     environment: Mapping[str, str],
 ) -> Result[Settings, list[Problem]]:
-    """Read, override and check a settings file."""
+    """Read a settings file, apply the environment's overrides and check."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
         return Failure([Problem(str(path), 1, '$', f'unreadable: {error}')])
     document = read_document(text, str(path))
-    return document.bind(lambda read: _settle(read, environment))
+    return document.bind(lambda read: _resolve(read, environment))
 
 
-def _settle(
+def _resolve(
     document: Document,
     environment: Mapping[str, str],
 ) -> Result[Settings, list[Problem]]:
@@ -142,8 +143,8 @@
         problems.extend(_check_address(document, path, advertised))
     for index, seed in enumerate(settings.seeds):
         problems.extend(_check_address(document, f'$.seeds[{index}]', seed))
-    if len(settings.peer_key) < _MINIMUM_KEY_LENGTH:
-        message = f'must have {_MINIMUM_KEY_LENGTH} characters or more'
+    if len(settings.peer_key) < _MIN_KEY_LENGTH:
+        message = f'must have at least {_MIN_KEY_LENGTH} characters'
         problems.append(document.report('$.peer_key', message))
     return Failure(problems) if problems else Success(settings)
 
--- a/src/kelproad/protocol/store.py
+++ b/src/kelproad/protocol/store.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store: rows, conditional writes, errors, lists."""
+"""Data types of the platform's store: rows, writes, errors and listings."""
 
 import enum
 
@@ -14,31 +14,31 @@
     'Write',
 ]
 
-#: Version that a row must have to be written when it must not exist yet.
+#: Expected version for a write to a row that must not exist yet.
 ABSENT = 0
 
 
 class StoreErrorKind(enum.StrEnum):
-    """What is known about a call that did not succeed."""
+    """Kind of a failed call; it shows whether a write took effect."""
 
     #: A condition did not hold; nothing was written.
     CONFLICT = 'conflict'
     #: The platform refused or could not be reached; nothing was written.
     UNAVAILABLE = 'unavailable'
-    #: No answer arrived; the write may have taken effect, or may yet.
+    #: No answer arrived; the write may have taken effect, or still may.
     UNKNOWN = 'unknown'
-    #: The object that was asked for is missing or not what it should be.
+    #: The requested object is missing or corrupt.
     DAMAGED = 'damaged'
 
 
 @attrs.frozen
 class StoreError:
-    """A call to the platform that did not succeed.
+    """A failed call to the platform.
 
     Attributes
     ----------
     conflicts
-        Keys of the rows whose condition did not hold.
+        Keys of the rows whose expected version did not match.
     """
 
     kind: StoreErrorKind
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Row:
-    """A row of a table; its version grows with each write, from 1."""
+    """A row of a table; its version starts at 1 and grows with each write."""
 
     key: str
     version: int
@@ -64,8 +64,8 @@
     Attributes
     ----------
     expect
-        Version that the row must have; ``ABSENT`` when it must not exist and
-        ``None`` for any.
+        Version that the row must have; ``ABSENT`` if it must not exist,
+        ``None`` if any version will do.
     body
         New body; ``None`` deletes the row.
     """
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class ListedInstance:
-    """An instance as the platform's lagging list shows it."""
+    """An entry of the platform's list of instances, which may be outdated."""
 
     name: str
     zone: str
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class Listing:
-    """The platform's list of instances, and the endpoints it takes away."""
+    """The platform's list of instances, and the endpoints it will remove."""
 
     instances: list[ListedInstance]
     leaving_endpoints: list[str] = attrs.field(factory=list)
