--- a/src/kelproad/protocol/events.py
+++ b/src/kelproad/protocol/events.py
@@ -17,7 +17,7 @@
 DONE = b'[DONE]'
 _SEPARATOR = b'\n\n'
 _DATA = b'\ndata: '
-#: Bytes; engines send no larger event.
+#: Maximum size of an event in bytes; engines send no larger one.
 MAX_EVENT_BYTES = 1_048_576
 _MAX_SHOWN = 80
 #: Beginnings of the data of an engine's own error.
--- a/src/kelproad/protocol/messages.py
+++ b/src/kelproad/protocol/messages.py
@@ -1,7 +1,7 @@
 """Messages between instances: typed, encoded as MessagePack, authenticated.
 
-An envelope carries one body and a tag over both by the site's shared key.
-The receiver ignores a message whose tag does not match.
+An envelope has the kind and body of a message.  It is sent with a tag by the
+site's shared key; the receiver ignores a message whose tag does not match.
 """
 
 import hashlib
@@ -76,7 +76,7 @@
     ----------
     files
         In order of their revisions.  One with a digest but no text is a
-        version that the sender could not read either.
+        version that the sender itself could not read.
     reply_to
         Peer address that is queried for the rest.
     complete
--- a/src/kelproad/protocol/settings.py
+++ b/src/kelproad/protocol/settings.py
@@ -60,7 +60,7 @@
         renewing its lease; must be the same at every instance.
     forgotten_after
         Seconds of silence after which an instance that the platform no longer
-        lists counts as departed, and the memory that engines hold for it is
+        lists counts as departed, and everything that engines hold for it is
         released.
     """
 
