--- a/src/kelproad/protocol/platform.py
+++ b/src/kelproad/protocol/platform.py
@@ -1,7 +1,7 @@
 """Client of the platform's service: tables, objects, list of instances.
 
 The platform has a transactional table with conditional writes, an object
-store and a lagging list of instances and endpoints.  All calls have a timeout.
+store and an often outdated list of instances and endpoints.  All calls have a timeout.
 A write whose answer is lost may have taken effect; this is distinguished from a
 write that certainly did not, because callers must resolve it by reading the
 rows again.
@@ -106,7 +106,7 @@
         after: str = '',
         limit: int = 500,
     ) -> Result[list[Row], StoreError]:
-        """Read rows with a key prefix, in order of keys, after a key."""
+        """Read up to ``limit`` rows in key order, with keys above ``after``."""
         answer = await self._call(
             'scan_rows',
             'GET',
@@ -148,7 +148,7 @@
         self,
         timeout: float,
     ) -> Result[Listing, StoreError]:
-        """Query the list of instances, which lags behind the truth."""
+        """Query the list of instances, which may be outdated."""
         answer = await self._call('list_instances', 'GET', '/members', timeout)
         return answer.bind(lambda body: self._decode(body, Listing))
 
