--- a/src/kelproad/protocol/platform.py
+++ b/src/kelproad/protocol/platform.py
@@ -1,10 +1,10 @@
 """Client of the platform's service: tables, objects, list of instances.
 
 The platform has a transactional table with conditional writes, an object
-store and an often outdated list of instances and endpoints.  All calls have a timeout.
-A write whose answer is lost may have taken effect; this is distinguished from a
-write that certainly did not, because callers must resolve it by reading the
-rows again.
+store and a list of instances and endpoints, which may be outdated.  All calls
+have a timeout.  A write whose answer is lost may have taken effect; this is
+distinguished from a write that certainly did not, because callers must resolve
+it by reading the rows again.
 """
 
 from collections.abc import Sequence
