--- a/deploy/kelproad.py
+++ b/deploy/kelproad.py
@@ -1,7 +1,7 @@
-"""Serve from what the build left under target/; options are those of ``serve``.
+"""Run ``kelproad serve`` from the build output under target/.
 
-Other verbs of the command line aren't imported: an instance that was killed is
-back a quarter of a second sooner.
+The options are those of ``serve``.  Other commands aren't imported, which lets
+an instance restart a quarter of a second sooner after it was killed.
 """
 
 import pathlib
@@ -10,8 +10,8 @@
 
 import typer
 
-# The platform may send SIGHUP from the first moment on, and the default action
-# ends the process; ``serve`` installs what reads the settings again.
+# The platform may send SIGHUP as soon as the process exists, and the default
+# action ends it; ``serve`` installs the handler that reloads the settings.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(_ROOT / 'target' / 'app'))
--- a/src/kelproad/__init__.py
+++ b/src/kelproad/__init__.py
@@ -1,13 +1,16 @@
 """kelproad: a serving layer between callers and model engines.
 
-The package is layered; each layer imports only those below it::
+The package is layered; each layer imports only from those below it::
 
-    cli  ->  coordination, standins  ->  protocol  ->  transport  ->  state
+    cli  ->  platform  ->  coordination, standins  ->  protocol  ->  transport
+    ->  state
 
-``state`` holds records and tables and does no input or output.
-``transport`` moves bytes.  ``protocol`` gives the bytes types.
-``coordination`` decides and acts.  ``standins`` are small substitutes for the
-outside systems, for demos and tests.
+``state`` holds data structures and decision logic and does no input or output.
+``transport`` sends and receives bytes.  ``protocol`` parses and validates them
+into typed messages and files.  ``coordination`` handles calls and coordinates
+instances.  ``platform`` runs an instance by the settings and in the row store
+of the platform.  ``standins`` are small substitutes for external systems, for demos
+and tests.
 """
 
 __all__ = ['__version__']
--- a/src/kelproad/cli/__init__.py
+++ b/src/kelproad/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The ``kelproad`` command: serving, operators' verbs, load, stand-ins.
+"""The ``kelproad`` command: serving, operator commands, load, stand-ins.
 
-Nothing is imported here: an instance needs only what serves, and the rest would
-take a third of the processor time of its start.
+Nothing is imported here: an instance needs only the serving modules, and
+importing the rest would take a third of the processor time of its start.
 """
--- a/src/kelproad/cli/client.py
+++ b/src/kelproad/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' verbs to an instance."""
+"""HTTP client of the operator commands."""
 
 import json
 from typing import Annotated
@@ -16,11 +16,15 @@
     'show_problems',
 ]
 
+#: Exit status when the instance refuses the call or cannot be reached.
 _EXIT_REFUSED = 1
+#: Exit status when the input is invalid.
 _EXIT_INVALID = 2
 _NOT_FOUND = 404
+#: Seconds to wait for the connection, and for each read of the answer.
 _TIMEOUT = 15.0
 
+#: A decoded JSON object.
 Fields = dict[str, object]
 Server = Annotated[
     str,
@@ -43,8 +47,20 @@
     body: Fields | None = None,
     accepts_missing: bool = False,
 ) -> Fields:
-    """Call an instance; a refusal ends the program with its message."""
-    call = request.Request(  # noqa: S310  the scheme is fixed here
+    """Call an instance and return the JSON object that it answers with.
+
+    Parameters
+    ----------
+    accepts_missing
+        Return the body of an answer with status 404 as well.
+
+    Raises
+    ------
+    typer.Exit
+        If the instance refuses the call or cannot be reached; the reason is
+        printed to standard error.
+    """
+    http_request = request.Request(  # noqa: S310  the scheme is fixed here
         f'http://{server}{path}',
         data=None if body is None else json.dumps(body).encode(),
         headers={'Authorization': f'Bearer {token}'},
@@ -52,7 +68,7 @@
     )
     opener = request.build_opener(request.ProxyHandler({}))
     try:
-        with opener.open(call, timeout=_TIMEOUT) as response:
+        with opener.open(http_request, timeout=_TIMEOUT) as response:
             return json.load(response)
     except error.HTTPError as failure:
         answer = json.load(failure)
@@ -62,17 +78,21 @@
     except OSError as failure:
         typer.echo(f'{server} cannot be reached: {failure}', err=True)
         if method == 'POST':
-            typer.echo('the outcome is unknown; ask again', err=True)
+            typer.echo(
+                'the outcome is unknown; repeat the command '
+                '(an apply with its --apply-id)',
+                err=True,
+            )
     raise typer.Exit(_EXIT_REFUSED)
 
 
 def quote_name(name: str) -> str:
-    """Quote a name for use in a path."""
+    """Quote a name for use as one segment of a URL path."""
     return quote(name, safe='')
 
 
 def show_problems(problems: list[str]) -> None:
-    """Print problems and end the program."""
+    """Print problems to standard error and exit with status 2."""
     for problem in problems:
         typer.echo(problem, err=True)
     raise typer.Exit(_EXIT_INVALID)
--- a/src/kelproad/cli/files.py
+++ b/src/kelproad/cli/files.py
@@ -1,4 +1,4 @@
-"""The operators' verbs on files: check, apply, diff, get, history, rollback."""
+"""Operator commands for configuration files: check, apply, diff and others."""
 
 import difflib
 import pathlib
@@ -57,7 +57,7 @@
         checked = parse_file(text, str(path), held, texts=texts)
         if isinstance(checked, Failure):
             problems += [str(problem) for problem in checked.failure()]
-        # One that is wrong still declares names that later ones refer to.
+        # An invalid file still declares names that later files refer to.
         alone = parse_file(text, str(path), held, alone=True)
         if isinstance(alone, Success):
             held[alone.unwrap().name] = alone.unwrap()
@@ -113,10 +113,10 @@
 ) -> None:
     """Apply the text of an earlier generation as a new one."""
     path = f'/operator/history/{quote_name(name)}/{to}'
-    old = call_instance(server, token, 'GET', path)
+    earlier = call_instance(server, token, 'GET', path)
     fields: Fields = {'dry_run': dry_run, 'source': f'{name} generation {to}'}
-    if old['row']['digest']:
-        fields['text'] = old['text']
+    if earlier['row']['digest']:
+        fields['text'] = earlier['text']
     else:
         fields['remove'] = name
     _submit(server, token, name, fields, base, apply_id)
@@ -126,7 +126,7 @@
     """Show how a file differs from what is in force under its name."""
     text = file.read_text()
     name = _read_name(text, str(file))
-    held = _read_held(server, token, name)
+    held = _fetch_current(server, token, name)
     lines = difflib.unified_diff(
         str(held.get('text', '')).splitlines(keepends=True),
         text.splitlines(keepends=True),
@@ -188,9 +188,9 @@
     apply_id: str,
 ) -> None:
     if base is None:
-        base = int(_read_held(server, token, name).get('generation', 0))
+        base = int(_fetch_current(server, token, name).get('generation', 0))
     chosen_id = apply_id or uuid.uuid4().hex
-    # Told before the call: its answer may be lost.
+    # Printed before the call, since its answer may be lost.
     typer.echo(f'apply id {chosen_id}, base generation {base}', err=True)
     body = {**fields, 'base_generation': base, 'apply_id': chosen_id}
     answer = call_instance(server, token, 'POST', '/operator/apply', body)
@@ -204,8 +204,8 @@
 def _list_paths(given: list[pathlib.Path]) -> list[pathlib.Path]:
     paths: list[pathlib.Path] = []
     for path in given:
-        inside = sorted(path.glob('*.yaml')) if path.is_dir() else [path]
-        paths.extend(inside)
+        files = sorted(path.glob('*.yaml')) if path.is_dir() else [path]
+        paths.extend(files)
     missing = [str(path) for path in paths if not path.is_file()]
     if missing or not paths:
         show_problems([f'{path}: no such file' for path in missing or given])
@@ -226,7 +226,7 @@
     return content['name']
 
 
-def _read_held(server: str, token: str, name: str) -> Fields:
+def _fetch_current(server: str, token: str, name: str) -> Fields:
     return call_instance(
         server,
         token,
--- a/src/kelproad/cli/loadgen.py
+++ b/src/kelproad/cli/loadgen.py
@@ -1,4 +1,7 @@
-"""Open-loop load: requests leave at planned times, whatever answers do."""
+"""Open-loop load generator: requests are sent at precomputed times.
+
+The times do not depend on when earlier requests are answered.
+"""
 
 import asyncio
 import itertools
@@ -17,33 +20,42 @@
 __all__ = ['Arrival', 'Plan', 'draw_arrivals', 'run_load']
 
 _BYTES_PER_TOKEN = 4
+#: Seconds between two progress lines.
 _PROGRESS_PERIOD = 5.0
 _DONE = b'data: [DONE]'
-#: Shares of prompts by decade of length: one in fifty is over 100,000 tokens.
-_DECADES = ((1_000, 10_000, 0.85), (10_000, 100_000, 0.13))
+#: Lower bound, upper bound (tokens) and share of the prompts of each length
+#: range; the remaining one in fifty has at least ``_LONG`` tokens.
+_LENGTH_RANGES = ((1_000, 10_000, 0.85), (10_000, 100_000, 0.13))
 _LONG = 100_000
 _OUTPUT_TOKENS = 24
-#: Prefixes that repeated prompts share, and the share of a prompt they are.
-_FAMILIES = 40
-_SHARED_PART = 0.75
+#: Number of distinct prefixes that prompts share.
+_PREFIXES = 40
+#: Share of a prompt that its shared prefix makes up.
+_PREFIX_SHARE = 0.75
 _OK = 200
 
 
 @attrs.frozen
 class Plan:
-    """What to send.
+    """Parameters of a load run.
 
     Attributes
     ----------
+    seconds
+        Duration of sending.
+    rate
+        Mean number of requests per second.
     longest
-        Longest prompt, in tokens; longer draws are cut to it.
+        Longest prompt, in tokens; longer sampled lengths are reduced to it.
+    deadline
+        Seconds that each request may take.
     more_keys
-        API keys of further workspaces; the first ones ask more often.
+        API keys of further workspaces; earlier keys send more requests.
     shorter_than
-        Prompts of this length or more are left out, the others come at the
-        same times as with them.
+        Prompts of this many tokens or more are skipped; the others are sent
+        at the same times as without this limit.
     repeated
-        Share of the prompts that begin like others of their family.
+        Share of the prompts that begin with one of the shared prefixes.
     """
 
     servers: list[str]
@@ -60,7 +72,7 @@
 
     @property
     def keys(self) -> list[str]:
-        """API keys of all workspaces."""
+        """API keys of all workspaces, the busiest first."""
         return [self.key, *self.more_keys]
 
 
@@ -70,24 +82,26 @@
 
     Attributes
     ----------
+    offset
+        Seconds after the start of the run.
     workspace
         Index of the workspace's key.
-    family
-        Number of the prefix that it shares with others, 0 for none.
+    prefix
+        Number of the shared prefix that the prompt begins with, 0 for none.
     """
 
     offset: float
     server: str
     prompt_tokens: int
     workspace: int = 0
-    family: int = 0
+    prefix: int = 0
 
 
 async def run_load(
     plan: Plan,
     show: Callable[[str], None] | None,
 ) -> Report:
-    """Send a plan's requests and gather what became of them."""
+    """Send a plan's requests, wait for all answers and report on them."""
     report = Report()
     started = monotonic()
     async with create_session() as session:
@@ -97,7 +111,9 @@
             await asyncio.sleep(started + arrival.offset - monotonic())
             report.sent += 1
             calls.append(
-                asyncio.create_task(_ask(session, plan, arrival, report)),
+                asyncio.create_task(
+                    _send_and_record(session, plan, arrival, report)
+                ),
             )
         await asyncio.gather(*calls)
         progress.cancel()
@@ -105,7 +121,7 @@
 
 
 def draw_arrivals(plan: Plan) -> Iterator[Arrival]:
-    """Draw arrivals of a Poisson process with log-uniform lengths."""
+    """Generate arrivals of a Poisson process with log-uniform lengths."""
     generator = random.Random(plan.seed)  # noqa: S311  no secret
     servers = itertools.cycle(plan.servers)
     offset = generator.expovariate(plan.rate)
@@ -113,46 +129,46 @@
         arrival = Arrival(
             offset,
             next(servers),
-            _draw_length(generator, plan),
-            _draw_workspace(generator, len(plan.keys)),
-            _draw_family(generator, plan),
+            _sample_length(generator, plan),
+            _sample_workspace(generator, len(plan.keys)),
+            _sample_prefix(generator, plan),
         )
         if arrival.prompt_tokens < plan.shorter_than:
             yield arrival
         offset += generator.expovariate(plan.rate)
 
 
-def _draw_workspace(generator: random.Random, count: int) -> int:
-    """Draw a workspace; the first ones are a few times as busy."""
+def _sample_workspace(generator: random.Random, count: int) -> int:
+    """Choose a workspace at random, the n-th with a weight of 1/n."""
     weights = [1 / (rank + 1) for rank in range(count)]
     return generator.choices(range(count), weights)[0]
 
 
-def _draw_family(generator: random.Random, plan: Plan) -> int:
-    family = generator.randint(1, _FAMILIES)
-    return family if generator.random() < plan.repeated else 0
+def _sample_prefix(generator: random.Random, plan: Plan) -> int:
+    prefix = generator.randint(1, _PREFIXES)
+    return prefix if generator.random() < plan.repeated else 0
 
 
-def _draw_length(generator: random.Random, plan: Plan) -> int:
-    drawn = generator.random()
+def _sample_length(generator: random.Random, plan: Plan) -> int:
+    sampled = generator.random()
     low, high = _LONG, max(plan.longest, _LONG + 1)
-    for lower, upper, share in _DECADES:
-        if drawn < share:
+    for lower, upper, share in _LENGTH_RANGES:
+        if sampled < share:
             low, high = lower, upper
             break
-        drawn -= share
+        sampled -= share
     exponent = generator.uniform(math.log(low), math.log(high))
     return min(round(math.exp(exponent)), plan.longest)
 
 
-async def _ask(
+async def _send_and_record(
     session: aiohttp.ClientSession,
     plan: Plan,
     arrival: Arrival,
     report: Report,
 ) -> None:
     try:
-        outcome = await _ask_and_read(session, plan, arrival, report)
+        outcome = await _send_request(session, plan, arrival, report)
     except (aiohttp.ClientError, OSError) as error:
         outcome = type(error).__name__
     if outcome == 'answered':
@@ -161,7 +177,7 @@
     report.outcomes_by_workspace[arrival.workspace][outcome] += 1
 
 
-async def _ask_and_read(
+async def _send_request(
     session: aiohttp.ClientSession,
     plan: Plan,
     arrival: Arrival,
@@ -170,7 +186,7 @@
     body = json.dumps(
         {
             'model': plan.model,
-            'prompt': _write_prompt(arrival),
+            'prompt': _build_prompt(arrival),
             'max_tokens': _OUTPUT_TOKENS,
             'stream': True,
         },
@@ -216,14 +232,14 @@
     return outcome
 
 
-def _write_prompt(arrival: Arrival) -> str:
-    """Write a prompt that begins like its family's, or like no other."""
+def _build_prompt(arrival: Arrival) -> str:
+    """Build a prompt that begins with its shared prefix, if any."""
     length = arrival.prompt_tokens * _BYTES_PER_TOKEN
-    head = f'{arrival.offset:.9f} '
-    if not arrival.family:
-        return head + 'x' * (length - len(head))
-    shared = f'family {arrival.family} '.ljust(round(length * _SHARED_PART))
-    return (shared + head).ljust(length, 'x')
+    unique = f'{arrival.offset:.9f} '
+    if not arrival.prefix:
+        return unique + 'x' * (length - len(unique))
+    shared = f'family {arrival.prefix} '.ljust(round(length * _PREFIX_SHARE))
+    return (shared + unique).ljust(length, 'x')
 
 
 async def _show_progress(
--- a/src/kelproad/cli/loadreport.py
+++ b/src/kelproad/cli/loadreport.py
@@ -1,4 +1,4 @@
-"""What a run of load measured: counts, and histograms by length class."""
+"""Results of a load run: counts, and latency histograms by prompt length."""
 
 import collections
 import types
@@ -8,7 +8,7 @@
 
 __all__ = ['CLASS_LIMITS', 'Report', 'Sample', 'format_table', 'name_class']
 
-#: Upper bounds, in tokens, of the length classes that are told apart.
+#: Upper bound, in tokens and exclusive, of each class of prompt lengths.
 CLASS_LIMITS = types.MappingProxyType(
     {
         '1k': 3_000,
@@ -17,6 +17,7 @@
         '1M': float('inf'),
     }
 )
+#: Range and significant digits of the histograms; the upper end is one hour.
 _LOWEST_MICROSECONDS = 1
 _HIGHEST_MICROSECONDS = 3_600_000_000
 _DIGITS = 3
@@ -25,11 +26,11 @@
 
 
 def name_class(prompt_tokens: int) -> str:
-    """Name the length class of a prompt."""
+    """Return the name of the length class that a prompt belongs to."""
     for name, limit in CLASS_LIMITS.items():
         if prompt_tokens < limit:
             return name
-    raise ValueError(f'not a length: {prompt_tokens}')
+    raise ValueError(f'not a prompt length: {prompt_tokens}')
 
 
 def _create_histogram() -> HdrHistogram:
@@ -38,7 +39,7 @@
 
 @attrs.frozen
 class Sample:
-    """One answer's time to first token."""
+    """Time to first token of one answer."""
 
     prompt_tokens: int
     seconds: float
@@ -47,7 +48,19 @@
 
 @attrs.define
 class Report:
-    """Results of a run."""
+    """Results of a run.
+
+    Attributes
+    ----------
+    first_token
+        Histogram of the times to first token, by length class.
+    between_tokens
+        Histogram of the times between consecutive tokens.
+    answered_tokens
+        Prompt tokens of the requests that were answered completely.
+    outcomes_by_workspace
+        Counts of outcomes by the index of the workspace's key.
+    """
 
     sent: int = 0
     outcomes: collections.Counter[str] = attrs.field(
@@ -69,17 +82,17 @@
         seconds: float,
         workspace: int = 0,
     ) -> None:
-        """Enter a time to first token."""
+        """Record a time to first token."""
         self.samples.append(Sample(prompt_tokens, seconds, workspace))
         histogram = self.first_token[name_class(prompt_tokens)]
         histogram.record_value(max(1, round(seconds * _MICROSECONDS)))
 
     def note_between_tokens(self, seconds: float) -> None:
-        """Enter the time between two tokens of an answer."""
+        """Record the time between two consecutive tokens of an answer."""
         self.between_tokens.record_value(max(1, round(seconds * _MICROSECONDS)))
 
     def to_fields(self) -> dict[str, object]:
-        """Return the results as plain fields, times in seconds."""
+        """Return the results as plain JSON values, with times in seconds."""
         return {
             'sent': self.sent,
             'outcomes': dict(self.outcomes),
@@ -93,7 +106,7 @@
 
 
 def format_table(report: Report) -> str:
-    """Format the results for reading."""
+    """Format the results as a table for the terminal."""
     fields = report.to_fields()
     lines = [
         f'sent {report.sent}: '
--- a/src/kelproad/cli/logs.py
+++ b/src/kelproad/cli/logs.py
@@ -1,4 +1,4 @@
-"""Log lines in a structured form, with instance and request on each."""
+"""Log lines on standard error, each with the instance and request id."""
 
 import json
 import logging
@@ -11,14 +11,15 @@
 _PLAIN_LINE = (
     '%(asctime)s %(levelname)s %(instance)s %(request)s %(name)s: %(message)s'
 )
+#: Stands for the request id on lines that belong to no request.
 _NO_REQUEST = '-'
 
 
 class _JsonFormatter(logging.Formatter):
-    """One JSON object a line."""
+    """Formatter that writes one JSON object per line."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Format a record with its time, level, instance and message."""
+        """Encode time, level, instance, request, logger, message, exception."""
         fields = {
             'time': self.formatTime(record),
             'level': record.levelname,
@@ -33,7 +34,7 @@
 
 
 def configure_logging(settings: Settings) -> None:
-    """Write log lines to standard error as the settings say."""
+    """Configure the root logger with the format and level of the settings."""
     handler = logging.StreamHandler()
     if settings.log_format is LogFormat.JSON:
         handler.setFormatter(_JsonFormatter())
@@ -47,5 +48,5 @@
 
     handler.addFilter(add_origin)
     logging.basicConfig(level=settings.log_level, handlers=[handler])
-    # The service library logs each start and stop of every small service.
+    # The mode library logs each start and stop of every service object.
     logging.getLogger('mode').setLevel(logging.WARNING)
--- a/src/kelproad/cli/logstory.py
+++ b/src/kelproad/cli/logstory.py
@@ -1,8 +1,8 @@
-"""The story of one request, put together from the logs of instances.
+"""Events of one request, collected from the logs of instances.
 
-Lines may come from several instances, since a caller that is refused comes back
-by another one under another id, and may have other text before the JSON, such
-as a time that a collector put there.
+Lines may have other text before the JSON, such as a timestamp added by a log
+collector.  Several logs can be read together, since a refused caller may repeat
+its call at another instance, under another request id.
 """
 
 import json
@@ -13,13 +13,19 @@
 
 __all__ = ['LogLine', 'read_story']
 
-#: Fields that stand in their own places of a told line.
-_PLACED = frozenset(('time', 'level', 'instance', 'event', 'request'))
+#: Fields that aren't repeated among the details of a formatted line.
+_COMMON_FIELDS = frozenset(('time', 'level', 'instance', 'event', 'request'))
 
 
 @attrs.frozen
 class LogLine:
-    """One event of a request."""
+    """One event of a request.
+
+    Attributes
+    ----------
+    at
+        Unix time in seconds, by the clock of the instance.
+    """
 
     at: float
     instance: str
@@ -27,7 +33,7 @@
     fields: dict[str, object]
 
     def tell(self, since: float) -> str:
-        """Say when it was, where, what, and what decided it."""
+        """Format time (relative to ``since``), instance, event and details."""
         details = ' '.join(
             f'{name}={json.dumps(value)}' for name, value in self.fields.items()
         )
@@ -39,7 +45,7 @@
     request_id: str,
     paths: Iterable[pathlib.Path],
 ) -> list[LogLine]:
-    """Collect the lines about a request, the earliest first."""
+    """Collect the events of a request, the earliest first."""
     found = [line for path in paths for line in _read_lines(path, request_id)]
     return sorted(found, key=lambda line: line.at)
 
@@ -54,7 +60,7 @@
 
 
 def _parse(text: str) -> tuple[str, LogLine] | None:
-    """Parse one line; one that is no event gives nothing."""
+    """Return request id and event of a line, or None if it is no event."""
     _, brace, rest = text.partition('{')
     try:
         fields = json.loads(brace + rest)
@@ -66,5 +72,9 @@
         fields['time'],
         fields.get('instance', ''),
         fields['event'],
-        {name: value for name, value in fields.items() if name not in _PLACED},
+        {
+            name: value
+            for name, value in fields.items()
+            if name not in _COMMON_FIELDS
+        },
     )
--- a/src/kelproad/cli/main.py
+++ b/src/kelproad/cli/main.py
@@ -1,7 +1,7 @@
-"""The commands, joined into one program.
+"""The ``kelproad`` program with all of its commands.
 
-Modules are imported when their command runs: an instance has 64 MB for its
-control, and an operator's verb should answer at once.
+Commands import what they need when they run: an instance has 64 MB of memory
+for its control plane, and operator commands should start without delay.
 """
 
 import typer
--- a/src/kelproad/cli/operators.py
+++ b/src/kelproad/cli/operators.py
@@ -1,4 +1,4 @@
-"""The operators' verbs on instances: status, dump, explain, drain."""
+"""Operator commands for instances: status, dump, explain, drain."""
 
 import json
 import pathlib
@@ -14,33 +14,33 @@
 
 def status(server: Server, token: Token) -> None:
     """Show zones, instances, endpoints and revisions."""
-    seen = call_instance(server, token, 'GET', '/operator/status')
-    known = _format_age(seen['configuration_age'])
+    answer = call_instance(server, token, 'GET', '/operator/status')
+    freshness = _format_age(answer['configuration_age'])
     typer.echo(
-        f'{seen["instance"]} in {seen["zone"]}: '
-        f'revision {seen["revision"]}, {known}',
+        f'{answer["instance"]} in {answer["zone"]}: '
+        f'revision {answer["revision"]}, {freshness}',
     )
-    for zone in seen['zones']:
+    for zone in answer['zones']:
         typer.echo(
             f'  zone     {zone["zone"]:20} revision {zone["lowest_revision"]} '
             f'in force at all {zone["instances"]} instances'
-            f'{_list_lagging(zone)}',
+            f'{_format_lagging(zone)}',
         )
-    for member in seen['members']:
+    for member in answer['members']:
         confirmed = _format_age(member['age'])
         typer.echo(
             f'  instance {member["name"]:20} {member["zone"]:12} '
             f'revision {member["revision"]:5} {confirmed}'
             f'{", leaving" if member["draining"] else ""}'
-            f'{_list_reason(member)}',
+            f'{_format_reason(member)}',
         )
-    for item in seen['pending']:
+    for item in answer['pending']:
         typer.echo(
             f'  file     {item["name"]:20} generation {item["generation"]} '
             f'is not in force here: {item["reason"]}',
         )
-    _show_orders(seen['orders'])
-    for endpoint in seen['endpoints']:
+    _show_orders(answer['orders'])
+    for endpoint in answer['endpoints']:
         typer.echo(
             f'  endpoint {endpoint["name"]:20} {endpoint["zone"]:12} '
             f'{endpoint["own_requests"]:3} requests from here'
@@ -67,10 +67,10 @@
         typer.Option(help='Log of an instance; may be given several times.'),
     ] = None,
 ) -> None:
-    """Tell why a request went where it went, or was refused.
+    """Explain why a request went where it went, or was refused.
 
-    With logs the story is put together from them, also after the instance is
-    gone; without, an instance is asked.
+    With --log the events are read from logs, which works after the instance
+    has exited too; without it, an instance is queried.
     """
     if log:
         _explain_by_logs(request_id, log)
@@ -82,12 +82,12 @@
 
 
 def _explain_by_logs(request_id: str, paths: list[pathlib.Path]) -> None:
-    story = read_story(request_id, paths)
-    if not story:
+    lines = read_story(request_id, paths)
+    if not lines:
         typer.echo(f'no line about {request_id}', err=True)
         raise typer.Exit(1)
-    for line in story:
-        typer.echo(line.tell(story[0].at))
+    for line in lines:
+        typer.echo(line.tell(lines[0].at))
 
 
 def drain(server: Server, token: Token) -> None:
@@ -100,12 +100,12 @@
     return 'never confirmed' if age is None else f'confirmed {age:.1f} s ago'
 
 
-def _list_lagging(zone: Fields) -> str:
+def _format_lagging(zone: Fields) -> str:
     lagging = zone['lagging']
     return f', see {", ".join(lagging)}' if lagging else ''
 
 
-def _list_reason(member: Fields) -> str:
+def _format_reason(member: Fields) -> str:
     if not member['reason']:
         return ''
     return f': {member["behind"]} behind, {member["reason"]}'
--- a/src/kelproad/cli/serve.py
+++ b/src/kelproad/cli/serve.py
@@ -1,4 +1,4 @@
-"""``kelproad serve``: one entry instance until it is told to stop."""
+"""``kelproad serve``: run one instance until it is signalled to stop."""
 
 import asyncio
 import logging
@@ -15,6 +15,7 @@
 __all__ = ['serve']
 
 _EXIT_INVALID = 2
+#: Signals that are ignored once the instance has stopped.
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
@@ -35,11 +36,11 @@
         typer.echo('--settings or --platform is needed', err=True)
         raise typer.Exit(_EXIT_INVALID)
     else:
-        left = _serve_own(settings)
+        left = _serve_standalone(settings)
     _end_process(1 if left else 0)
 
 
-def _serve_own(settings: pathlib.Path) -> int:
+def _serve_standalone(settings: pathlib.Path) -> int:
     from ..coordination.instance import Instance
     from ..protocol.settings import load_settings
     from .logs import configure_logging
@@ -55,7 +56,8 @@
     from ..platform.settings import SETTINGS_VARIABLE, load_node_settings
     from .structured import configure_structured_logging
 
-    # The settings file may change before this process can read it again.
+    # The platform may change the settings file and send SIGHUP before the
+    # handler is installed; the default action would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = settings or pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ''))
     loaded = _require(load_node_settings(path))
@@ -68,7 +70,7 @@
 
 
 def _require(loaded: Result[object, Sequence[object]]) -> object:
-    """Return settings, or say what is wrong with them and exit."""
+    """Return the settings, or print their problems and exit."""
     if isinstance(loaded, Failure):
         for problem in loaded.failure():
             typer.echo(str(problem), err=True)
@@ -91,9 +93,9 @@
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
     """Ignore further signals until the process ends.
 
-    Closing the loop restores their default actions, so a SIGTERM or a SIGHUP
-    that is repeated in the last 0.05 to 0.15 s of a stop would end the process
-    with exit code -15 or -1: a stop that cut nothing would look like a crash.
+    Closing the loop restores their default actions, so a SIGTERM or SIGHUP
+    repeated in the last 0.05 to 0.15 s of a stop would end the process with
+    exit code -15 or -1, and a clean stop would look like a crash.
     """
     for number in _SIGNALS:
         loop.remove_signal_handler(number)
@@ -101,20 +103,20 @@
 
 
 def _end_process(status: int) -> NoReturn:
-    """End at once, after the last lines of the log.
+    """End the process at once, after flushing the log.
 
-    Everything is closed by now.  The interpreter would still take itself apart
-    for 0.2 s, on a busy machine for over a second, and a stop that was in time
-    would end by the kill.
+    Everything is closed by now.  Finalizing the interpreter would take another
+    0.2 s, on a busy machine over a second, so that a stop that finished in time
+    could still end by SIGKILL.
     """
     logging.shutdown()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(status)  # noqa: WPS437  the only way past the interpreter's end
+    os._exit(status)  # noqa: WPS437  skips finalization of the interpreter
 
 
 async def _run_node(node: object) -> int:
-    """Run an instance that also follows changes of its settings file."""
+    """Run an instance that reloads its settings file on SIGHUP."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     return await _run(node)
--- a/src/kelproad/cli/standins.py
+++ b/src/kelproad/cli/standins.py
@@ -1,4 +1,7 @@
-"""``kelproad stand-in``: the substitutes, each in a process of its own."""
+"""``kelproad stand-in``: run substitutes for external systems.
+
+Each runs in a process of its own.
+"""
 
 import asyncio
 import pathlib
--- a/src/kelproad/cli/structured.py
+++ b/src/kelproad/cli/structured.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output, bounded and never blocking.
+"""Non-blocking structured logging to standard output, with a rate limit.
 
-A thread writes them, so that a full pipe stops no call.  Beyond a number of
-lines a second, or while the pipe is full, lines are dropped and counted; the
-count is logged when there is room again.
+A thread writes the lines, so that a full pipe blocks no call.  Lines beyond the
+rate limit, or logged while the queue is full, are dropped and counted; the
+count is logged as soon as a line is accepted again.
 """
 
 import logging
@@ -18,23 +18,26 @@
 
 __all__ = ['configure_structured_logging']
 
-#: Lines that may wait for the pipe: some seconds of a busy instance.
-_WAITING_LINES = 4000
-#: Lines a second at the most; a call makes three, and an instance of today's
-#: sites takes some five calls a second.
+#: Lines that may be queued for the pipe: some seconds of a busy instance.
+_MAX_QUEUED_LINES = 4000
+#: Maximum number of lines per second; a call logs three, and an instance of
+#: present sites gets about five calls per second.
 _LINES_PER_SECOND = 400
 
 
 class _EventFormatter(logging.Formatter):
-    """One JSON object a line: time, event, request, then the fields."""
+    """Formatter that writes one JSON object per line.
+
+    Time, level, instance, event and request precede the event's fields.
+    """
 
     def __init__(self, instance: str) -> None:
-        """Name the instance on each line."""
+        """Add the name of the instance to each line."""
         super().__init__()
         self._instance = instance
 
     def format(self, record: logging.LogRecord) -> str:
-        """Format a record."""
+        """Encode a record; its message is the name of the event."""
         fields = {
             'time': round(record.created, 4),
             'level': record.levelname,
@@ -50,24 +53,24 @@
 
 
 class _BoundedHandler(QueueHandler):
-    """Hands lines to the writing thread, as many as are permitted."""
+    """Handler that queues lines for the writer thread, up to a rate limit."""
 
     def __init__(self, lines: queue.Queue) -> None:
-        """Start with nothing dropped."""
+        """Put formatted lines into the queue ``lines``."""
         super().__init__(lines)
         self._second = 0
         self._written = 0
         self._dropped = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Format in the thread that logs, which knows the request."""
+        """Format in the logging thread, whose context has the request id."""
         record.msg = self.format(record)
         record.args = None
         record.exc_info = None
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Put a line in the queue, or drop it."""
+        """Queue a line, or drop and count it."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
@@ -81,9 +84,9 @@
             self._dropped += 1
             return
         self._written += 1
-        self._tell_dropped()
+        self._report_dropped()
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         if not self._dropped:
             return
         line = msgspec.json.encode(
@@ -92,7 +95,7 @@
         try:
             self.queue.put_nowait(logging.makeLogRecord({'msg': line.decode()}))
         except queue.Full:
-            # The count is kept and told with a later line.
+            # The count is kept and logged with a later line.
             return
         self._dropped = 0
 
@@ -105,15 +108,15 @@
     Returns
     -------
     QueueListener
-        Its ``stop`` writes what waits and ends the thread.
+        Its ``stop`` writes the queued lines and ends the thread.
     """
-    lines: queue.Queue = queue.Queue(_WAITING_LINES)
+    lines: queue.Queue = queue.Queue(_MAX_QUEUED_LINES)
     handler = _BoundedHandler(lines)
     handler.setFormatter(_EventFormatter(instance))
     writer = logging.StreamHandler(sys.stdout)
     writer.setFormatter(logging.Formatter('%(message)s'))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
-    # The service library logs each start and stop of every small service.
+    # The mode library logs each start and stop of every service object.
     logging.getLogger('mode').setLevel(logging.WARNING)
     listener = QueueListener(lines, writer)
     listener.start()
--- a/src/kelproad/cli/workload.py
+++ b/src/kelproad/cli/workload.py
@@ -1,4 +1,4 @@
-"""``kelproad load``: open-loop load with prompts of very unlike lengths."""
+"""``kelproad load``: open-loop load with prompts of widely varying length."""
 
 import asyncio
 import json
