--- a/src/kelproad/__init__.py
+++ b/src/kelproad/__init__.py
@@ -8,9 +8,9 @@
 ``state`` holds data structures and decision logic and does no input or output.
 ``transport`` sends and receives bytes.  ``protocol`` parses and validates them
 into typed messages and files.  ``coordination`` handles calls and coordinates
-instances.  ``platform`` runs an instance by the settings and in the row store
-of the platform.  ``standins`` are small substitutes for external systems, for demos
-and tests.
+instances.  ``platform`` adapts an instance to the platform's settings file,
+row store and header fields.  ``standins`` are small substitutes for external
+systems, for demos and tests.
 """
 
 __all__ = ['__version__']
--- a/src/kelproad/cli/loadgen.py
+++ b/src/kelproad/cli/loadgen.py
@@ -235,11 +235,11 @@
 def _build_prompt(arrival: Arrival) -> str:
     """Build a prompt that begins with its shared prefix, if any."""
     length = arrival.prompt_tokens * _BYTES_PER_TOKEN
-    unique = f'{arrival.offset:.9f} '
+    head = f'{arrival.offset:.9f} '
     if not arrival.prefix:
-        return unique + 'x' * (length - len(unique))
+        return head + 'x' * (length - len(head))
     shared = f'family {arrival.prefix} '.ljust(round(length * _PREFIX_SHARE))
-    return (shared + unique).ljust(length, 'x')
+    return (shared + head).ljust(length, 'x')
 
 
 async def _show_progress(
--- a/src/kelproad/standins/__init__.py
+++ b/src/kelproad/standins/__init__.py
@@ -1,6 +1,5 @@
-"""Small substitutes for the outside systems, for demos and tests.
+"""Stand-ins: small substitutes for external systems, for demos and tests.
 
-They keep to the protocols of the real ones as far as the system uses them,
-and have switches that bring failures about.  Nothing of them is used when
-serving.
+They implement the protocols of the real systems as far as instances use them,
+and have control paths that inject faults.  Instances never import them.
 """
--- a/src/kelproad/standins/batch.py
+++ b/src/kelproad/standins/batch.py
@@ -1,4 +1,4 @@
-"""Model of an engine's time and memory: prefill, decode, KV cache, prefixes.
+"""Model of an engine's timing and memory: prefill, decode, KV and prefix cache.
 
 One loop runs the engine step by step.  A step prefills one chunk of the first
 waiting prompt, which cannot be interrupted, and then decodes one token of every
@@ -21,12 +21,16 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A block that came into the prefix cache or went out of it.
+    """A block that was stored in the prefix cache or evicted from it.
 
     Attributes
     ----------
     at
-        Monotonic time, in seconds, at which it did.
+        Monotonic time, in seconds.
+    kind
+        ``stored`` or ``evicted``.
+    block
+        Digest of the block.
     """
 
     at: float
@@ -35,17 +39,25 @@
 
 
 class Batch:
-    """The engine's loop, its memory and its prefix cache."""
+    """The engine's scheduling loop, its memory and its prefix cache.
+
+    Attributes
+    ----------
+    used_tokens
+        Tokens of KV cache that streams, exports and pins have reserved.
+    slowness
+        Factor by which each step takes longer.
+    """
 
     def __init__(self, settings: EngineSettings) -> None:
-        """Start with nothing in memory."""
+        """Start with an empty memory and an empty prefix cache."""
         self._settings = settings
         self._waiting: list[tuple[int, int, Stream]] = []
         self._order = itertools.count()
         self._running: list[Stream] = []
         self._prefilling: Stream | None = None
-        self._put_aside: list[Stream] = []
-        self._woken = asyncio.Event()
+        self._preempted: list[Stream] = []
+        self._work_changed = asyncio.Event()
         self._cache: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
@@ -55,16 +67,16 @@
 
     @property
     def waiting_tokens(self) -> int:
-        """Prompt tokens that are not computed yet."""
+        """Prompt tokens that have not been prefilled yet."""
         waiting = sum(
             stream.prompt_tokens
             for _, _, stream in self._waiting
             if not stream.cancelled
         )
-        begun = self._put_aside.copy()
+        started = self._preempted.copy()
         if self._prefilling is not None:
-            begun.append(self._prefilling)
-        return waiting + sum(stream.to_prefill for stream in begun)
+            started.append(self._prefilling)
+        return waiting + sum(stream.to_prefill for stream in started)
 
     @property
     def running(self) -> int:
@@ -72,43 +84,43 @@
         return len(self._running)
 
     def add(self, stream: Stream) -> None:
-        """Queue a stream."""
+        """Queue a stream by priority, in order of arrival within each."""
         priority = stream.priority if self._settings.honours_priorities else 0
         heapq.heappush(self._waiting, (priority, next(self._order), stream))
-        self._woken.set()
+        self._work_changed.set()
 
     def release(self, stream: Stream) -> None:
-        """Free what a stream holds, and stop it if it has not ended."""
+        """Free a stream's memory, and cancel it if it has not ended."""
         stream.cancelled = True
         if stream in self._running:
             self._running.remove(stream)
         if stream.admitted:
             stream.admitted = False
             self.used_tokens -= stream.memory
-        self._woken.set()
+        self._work_changed.set()
 
     def store_blocks(self, blocks: list[str]) -> None:
-        """Keep computed or imported blocks; the oldest ones give way."""
+        """Cache blocks, evicting those that were used least recently."""
         for block in blocks:
             if block not in self._cache:
-                self._note_cache('stored', block)
+                self._record_cache_event('stored', block)
             self._cache[block] = None
             self._cache.move_to_end(block)
         limit = self._settings.cache_tokens // BLOCK_TOKENS
         while len(self._cache) > limit:
             block, _ = self._cache.popitem(last=False)
-            self._note_cache('evicted', block)
+            self._record_cache_event('evicted', block)
 
     async def run(self) -> None:
-        """Run the engine for ever."""
+        """Run steps until cancelled, waiting while there is nothing to do."""
         while True:
             if self._settings.interrupts_prefill:
-                self._put_prefill_aside()
+                self._preempt_prefill()
             self._admit_next()
-            self._take_prefill_up()
+            self._resume_prefill()
             if self._prefilling is None and not self._running:
-                self._woken.clear()
-                await self._woken.wait()
+                self._work_changed.clear()
+                await self._work_changed.wait()
                 continue
             await self._step()
 
@@ -129,13 +141,13 @@
             self._finish_prefill(stream)
 
     def _admit_next(self) -> None:
-        """Take the first waiting stream if its memory is free."""
+        """Start to prefill the first waiting stream if its memory is free."""
         while self._prefilling is None and self._waiting:
             priority, _, stream = self._waiting[0]
             if stream.cancelled:
                 heapq.heappop(self._waiting)
                 continue
-            if self._put_aside and priority >= self._put_aside[-1].priority:
+            if self._preempted and priority >= self._preempted[-1].priority:
                 return
             if self.used_tokens + stream.memory > self._settings.memory_tokens:
                 return
@@ -146,25 +158,25 @@
             stream.to_prefill = max(1, stream.prompt_tokens - cached)
             self._prefilling = stream
 
-    def _put_prefill_aside(self) -> None:
-        """Let a prompt of higher priority go first, if its memory is free."""
-        begun = self._prefilling
-        if begun is None or not self._waiting:
+    def _preempt_prefill(self) -> None:
+        """Preempt the prefill for a prompt of higher priority that fits."""
+        current = self._prefilling
+        if current is None or not self._waiting:
             return
         priority, _, head = self._waiting[0]
         fits = self.used_tokens + head.memory <= self._settings.memory_tokens
-        if fits and priority < begun.priority:
-            self._put_aside.append(begun)
+        if fits and priority < current.priority:
+            self._preempted.append(current)
             self._prefilling = None
 
-    def _take_prefill_up(self) -> None:
-        """Go on with the prompt put aside last, when nothing goes before it.
+    def _resume_prefill(self) -> None:
+        """Resume the prefill preempted last, unless another one is running.
 
-        What was put aside has its memory already, so a waiting prompt that
-        does not fit never keeps it from going on.
+        A preempted stream keeps its memory, so a waiting prompt that does not
+        fit never blocks it.
         """
-        while self._prefilling is None and self._put_aside:
-            stream = self._put_aside.pop()
+        while self._prefilling is None and self._preempted:
+            stream = self._preempted.pop()
             if not stream.cancelled:
                 self._prefilling = stream
 
@@ -199,5 +211,5 @@
             count += 1
         return count
 
-    def _note_cache(self, kind: str, block: str) -> None:
+    def _record_cache_event(self, kind: str, block: str) -> None:
         self.cache_events.append(CacheEvent(monotonic(), kind, block))
--- a/src/kelproad/standins/engine.py
+++ b/src/kelproad/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine: its HTTP interface and its faults.
+"""Stand-in for a model engine: its HTTP interface, with injected faults.
 
 Streams whose connection broke stay in memory until they are resumed or
-cancelled, as real engines with resumable streams keep them.
+cancelled, as in real engines with resumable streams.
 """
 
 import asyncio
@@ -20,15 +20,17 @@
 
 __all__ = ['EngineSettings', 'EngineStandIn']
 
+#: Bytes of a request body.
 _MAX_BODY = 64 * 1024 * 1024
-_TOMBSTONES_KEPT = 10_000
+#: Cancelled attempts that are remembered, the latest ones.
+_MAX_TOMBSTONES = 10_000
 
 
 class EngineStandIn:
-    """The engine as callers of its HTTP interface see it."""
+    """HTTP interface of the engine and its control paths."""
 
     def __init__(self, settings: EngineSettings, models: list[str]) -> None:
-        """Serve models from empty memory."""
+        """Serve models, each given as ``name`` or ``name@version``."""
         self._settings = settings
         self._batch = Batch(settings)
         self._streams: dict[str, Stream] = {}
@@ -36,7 +38,7 @@
         self._faults = Faults()
         self._holdings = Holdings(self._batch)
         self._leaving = False
-        self._refuses = False
+        self._refuses_new = False
         self._incarnation = str(time.time_ns())
         self._model = models[0].partition('@')[0]
         weights = settings.weights_address
@@ -48,12 +50,12 @@
             lambda: len(self._streams),
         )
         self._loads: list[tuple[float, dict[str, object]]] = []
-        self._ran: list[str] = []
-        self._times: list[float] = []
+        self._accepted_ids: list[str] = []
+        self._accepted_at: list[float] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     def create_application(self) -> web.Application:
-        """Build the application to serve."""
+        """Build the application, which runs the engine while it is served."""
         application = web.Application(client_max_size=_MAX_BODY)
         application.add_routes(
             [
@@ -104,14 +106,14 @@
         )
         continued = self._continue(stream, fields)
         self._streams[attempt_id] = stream
-        self._ran.append(attempt_id)
-        self._times.append(time.time())
+        self._accepted_ids.append(attempt_id)
+        self._accepted_at.append(time.time())
         self._batch.add(stream)
         await asyncio.sleep(self._faults.delay_head)
         return await self._send(http_request, stream, 0, continued)
 
     def _continue(self, stream: Stream, fields: RawFields) -> int:
-        """Set a stream behind the text it continues; return its bytes."""
+        """Continue the text given, if any, and return its length in bytes."""
         if not self._settings.continues or 'continue_from' not in fields:
             return 0
         text = msgspec.json.decode(fields['continue_from'], type=str)
@@ -126,9 +128,11 @@
         if prompt is None:
             return _refuse('bad_request', 'no prompt')
         if attempt_id in self._cancelled or attempt_id in self._streams:
-            return _refuse('conflict', 'the attempt was cancelled or is here')
-        if self._faults.refuse or self._refuses:
-            return _refuse('unavailable', 'no new work is taken')
+            return _refuse(
+                'conflict', 'the attempt was cancelled or already exists'
+            )
+        if self._faults.refuse or self._refuses_new:
+            return _refuse('unavailable', 'no new work is accepted')
         model = msgspec.json.decode(fields['model'], type=str)
         if model not in self._orders.list_ready():
             return _refuse('unavailable', 'the model is not ready')
@@ -145,7 +149,7 @@
             self._streams[attempt_id] = stream
             self._batch.add(stream)
         if stream is None or stream.cancelled:
-            return web.json_response({'message': 'not held'}, status=404)
+            return web.json_response({'message': 'no such stream'}, status=404)
         return await self._send(http_request, stream, number)
 
     async def _cancel(self, http_request: web.Request) -> web.Response:
@@ -154,9 +158,9 @@
             http_request.transport.abort()
             return web.Response()
         attempt_id = http_request.match_info['attempt']
-        # A cancel may overtake its dispatch; the tombstone refuses it then.
+        # A cancel may overtake its dispatch, which the tombstone then refuses.
         self._cancelled[attempt_id] = None
-        while len(self._cancelled) > _TOMBSTONES_KEPT:
+        while len(self._cancelled) > _MAX_TOMBSTONES:
             self._cancelled.pop(next(iter(self._cancelled)))
         stream = self._streams.pop(attempt_id, None)
         if stream is not None:
@@ -176,7 +180,7 @@
         number: int,
         continued: int = 0,
     ) -> web.StreamResponse:
-        """Send events from a number on; free the memory after the last."""
+        """Send events from a number on; free the memory after the last one."""
         headers = {
             'Content-Type': 'text/event-stream',
             'X-Engine-Incarnation': self._incarnation,
@@ -243,9 +247,13 @@
         )
 
     async def _show_load(self, _http_request: web.Request) -> web.Response:
-        visible = monotonic() - self._settings.load_lag
-        shown = [load for since, load in self._loads if since <= visible]
-        load = shown[-1] if shown else self._measure_load()
+        visible_until = monotonic() - self._settings.load_lag
+        visible_loads = [
+            load
+            for sampled_at, load in self._loads
+            if sampled_at <= visible_until
+        ]
+        load = visible_loads[-1] if visible_loads else self._measure_load()
         return web.json_response({**load, 'leaving': self._leaving})
 
     async def _sample_load(self) -> None:
@@ -269,17 +277,17 @@
     ) -> web.Response:
         after = int(http_request.query.get('after', '0'))
         gap = self._settings.event_gap
-        visible = monotonic() - self._settings.event_lag
+        visible_until = monotonic() - self._settings.event_lag
         events = [
             {'number': number, 'kind': event.kind, 'block': event.block}
             for number, event in enumerate(self._batch.cache_events, 1)
             if number > after
-            and event.at <= visible
+            and event.at <= visible_until
             and not (gap and number % gap == 0)
         ]
         return web.json_response({'events': events})
 
-    # Switches
+    # Control paths
 
     async def _put_faults(self, http_request: web.Request) -> web.Response:
         self._faults = msgspec.json.decode(
@@ -290,17 +298,20 @@
         return web.json_response({})
 
     async def _put_leaving(self, http_request: web.Request) -> web.Response:
-        """Say from now on that it is leaving; what is sent is still taken."""
+        """Report from now on that the engine is leaving.
+
+        Calls are still accepted, unless the query has ``refuse=yes``.
+        """
         self._leaving = True
-        self._refuses = http_request.query.get('refuse') == 'yes'
+        self._refuses_new = http_request.query.get('refuse') == 'yes'
         return web.json_response({})
 
     async def _show_ran(self, _http_request: web.Request) -> web.Response:
-        return web.json_response(self._ran)
+        return web.json_response(self._accepted_ids)
 
     async def _show_times(self, _http_request: web.Request) -> web.Response:
-        """Tell when each attempt that ran was taken, by the wall clock."""
-        return web.json_response(self._times)
+        """List the Unix time at which each attempt was accepted, in order."""
+        return web.json_response(self._accepted_at)
 
 
 def _refuse(code: str, message: str, status: int = 503) -> web.Response:
--- a/src/kelproad/standins/faults.py
+++ b/src/kelproad/standins/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong at a stand-in engine, and how its streams show it."""
+"""Faults of a stand-in engine, and connections that show them."""
 
 import asyncio
 import os
@@ -10,36 +10,37 @@
 
 _FAILED = b'{"error": {"message": "the engine failed", "code": 500}}'
 _DONE = b'[DONE]'
+#: Exit code of a process that ends itself, see ``die_after``.
 _EXIT_CODE = 9
 
 
 @attrs.define
 class Faults:
-    """What goes wrong at present.
+    """The faults that are injected at present.
 
     Attributes
     ----------
     cut_after
         Connections break after this many events; 0 for never.
     clean_cut
-        A connection that breaks ends as if the answer were complete.
+        A connection cut by ``cut_after`` ends as if the answer were complete.
     stall_after
-        Connections stay open after this many events, and nothing follows;
-        -1 for never.
+        Connections stay open after this many events, but nothing more is
+        sent; -1 for never.
     fail_after
-        The engine tells of an error after this many events, and then ends
-        the stream in the ordinary way; 0 for never.
+        The engine sends an error event after this many events, and then ends
+        the stream normally; 0 for never.
     die_after
-        The process ends itself after this many events; 0 for never.
+        The process exits after this many events; 0 for never.
     connections
-        How many connections to come the five above apply to; -1 for all.
+        Number of further connections that the five above apply to; -1 for all.
     crossed, doubled, skipped
-        Every so many events, one of another attempt comes in between, one
-        comes twice, or one is left out; 0 for never.
+        At every n-th event, one of another attempt is inserted before it,
+        it is sent twice, or it is omitted; 0 for never.
     slowness
         Factor by which every step takes longer.
     lose_cancels
-        Number of cancels still to come that are not heard.
+        Number of further cancels that are ignored without an answer.
     refuse
         Completions are refused before anything runs.
     delay_dispatch
@@ -47,11 +48,11 @@
     delay_head
         Seconds between its acceptance and the head of its answer.
     forget
-        A cut is the engine's restart: it forgets its streams and has another
-        incarnation from then on.
+        When a fault ends a connection, the engine drops all streams and
+        changes its incarnation, as if it had restarted.
     forge_resumes
-        A stream that is not held is resumed all the same, with another text,
-        as by a restarted engine that reuses ids.
+        An unknown stream is resumed all the same, with another text, as by a
+        restarted engine that reuses ids.
     """
 
     cut_after: int = 0
@@ -72,15 +73,15 @@
     forge_resumes: bool = False
 
     def strike(self) -> bool:
-        """Tell whether the next connection is hit, and count it."""
-        hit = self.connections != 0
+        """Return whether the next connection is affected, and count it."""
+        affected = self.connections != 0
         if self.connections > 0:
             self.connections -= 1
-        return hit
+        return affected
 
 
 class FaultyConnection:
-    """One connection that sends the events of a stream, faults included."""
+    """One connection that sends the events of a stream, with faults."""
 
     def __init__(
         self,
@@ -89,32 +90,32 @@
         attempt_id: str,
         faults: Faults,
     ) -> None:
-        """Send over a response that has been prepared."""
+        """Send over a response that is prepared already."""
         self._http_request = http_request
         self._response = response
         self._attempt_id = attempt_id
         self._faults = faults
-        self._hit = faults.strike()
+        self._affected = faults.strike()
         self._sent = 0
 
     async def send(self, number: int, payload: bytes) -> bool:
-        """Send one event; false when the connection has ended instead."""
-        if self._hit and not await self._survive(number):
+        """Send an event, or return false if a fault ended the connection."""
+        if self._affected and not await self._apply_faults(number):
             return False
         await self._write(number, payload)
         self._sent += 1
         return True
 
     async def end(self) -> None:
-        """End the response in the ordinary way."""
+        """End the response normally."""
         await self._response.write_eof()
 
-    async def _survive(self, number: int) -> bool:
+    async def _apply_faults(self, number: int) -> bool:
         faults = self._faults
         if self._sent == faults.stall_after:
             await asyncio.Event().wait()
         if faults.die_after and self._sent >= faults.die_after:
-            os._exit(_EXIT_CODE)  # noqa: WPS437  nothing is closed or flushed
+            os._exit(_EXIT_CODE)  # noqa: WPS437  no cleanup, as in a crash
         if faults.fail_after and self._sent >= faults.fail_after:
             await self._write(number, _FAILED)
             await self._write(number + 1, _DONE)
@@ -136,8 +137,8 @@
         event = encode_event(self._attempt_id, number, payload)
         position = number + 1
         if faults.crossed and position % faults.crossed == 0:
-            stranger = encode_event('stranger', number, payload)
-            await self._response.write(stranger)
+            other = encode_event('stranger', number, payload)
+            await self._response.write(other)
         if faults.skipped and position % faults.skipped == 0:
             return
         await self._response.write(event)
--- a/src/kelproad/standins/holdings.py
+++ b/src/kelproad/standins/holdings.py
@@ -1,6 +1,7 @@
-"""What a stand-in engine keeps beside its streams: KV exports and pins.
+"""Memory that a stand-in engine holds besides its streams: exports and pins.
 
-Both take memory until they are deleted, whatever became of their owner.
+An export is KV cache that other engines can import.  Both kinds take memory
+until they are deleted, even if their owner has exited.
 """
 
 import attrs
@@ -15,12 +16,14 @@
 
 @attrs.frozen
 class HoldingWanted:
-    """The body that makes an engine hold an export or a pin.
+    """Body of a request to hold an export or a pin.
 
     Attributes
     ----------
+    seconds
+        Seconds until its deadline, which is only reported, not enforced.
     blocks
-        Digests of the prefix blocks that an export is made of.
+        Digests of the prefix blocks that an export consists of.
     """
 
     owner: str
@@ -31,7 +34,7 @@
 
 @attrs.frozen
 class _Exported:
-    """An export as another engine imports it."""
+    """Body by which an export is transferred to another engine."""
 
     tokens: int
     blocks: list[str]
@@ -51,12 +54,12 @@
     """Exports and pins by kind and id."""
 
     def __init__(self, batch: Batch) -> None:
-        """Take memory from an engine's batch."""
+        """Account memory to an engine's batch."""
         self._batch = batch
         self._items: dict[tuple[str, str], _Holding] = {}
 
     def routes(self) -> list[web.RouteDef]:
-        """List the paths of exports, imports and pins."""
+        """Return the routes of exports, imports and pins."""
         return [
             web.put('/v1/{kind:exports|pins}/{item}', self._put),
             web.get('/v1/exports/{item}', self._export),
@@ -65,7 +68,7 @@
         ]
 
     def describe(self) -> list[dict[str, object]]:
-        """List what is held."""
+        """Describe the exports and pins held, for ``/v1/held``."""
         return [
             describe_holding(
                 item.kind,
@@ -100,7 +103,7 @@
     async def _export(self, http_request: web.Request) -> web.Response:
         item = self._items.get(('export', http_request.match_info['item']))
         if item is None:
-            return web.json_response({'message': 'not held'}, status=404)
+            return web.json_response({'message': 'no such export'}, status=404)
         exported = _Exported(item.tokens, item.blocks)
         return web.Response(
             body=msgspec.json.encode(exported),
@@ -108,7 +111,7 @@
         )
 
     async def _import(self, http_request: web.Request) -> web.Response:
-        """Import KV cache into the prefix cache, which gives way by itself."""
+        """Store blocks in the prefix cache, which evicts on its own."""
         imported = msgspec.json.decode(
             await http_request.read(),
             type=_Exported,
@@ -133,7 +136,7 @@
     deadline: float,
     attached: bool,
 ) -> dict[str, object]:
-    """Describe something held as ``/v1/held`` lists it."""
+    """Describe a stream, an export or a pin as ``/v1/held`` lists it."""
     return {
         'kind': kind,
         'item_id': item_id,
--- a/src/kelproad/standins/network.py
+++ b/src/kelproad/standins/network.py
@@ -1,9 +1,10 @@
-"""Stand-in for the network between zones: delay, cuts and their healing.
+"""Stand-in for the network between zones, with delays and partitions.
 
-Each link listens on one address and passes bytes on to another.  The zone of a
-connection's origin is known by its IP prefix, the zone of its target by the
-link.  While two zones are cut, bytes between them are held back, as TCP does
-with lost packets, or their connections are broken, as a switch that dies does.
+Each link listens on one address and forwards bytes to another.  The zone of a
+connection's origin is found by its IP prefix, the zone of its target is given
+by the link.  While two zones are cut from each other, bytes between them are
+held back, as TCP does with lost packets, or their connections are aborted, as
+by a switch that fails.
 """
 
 import asyncio
@@ -19,12 +20,14 @@
 
 __all__ = ['NetworkStandIn']
 
+#: Bytes that are read at once.
 _CHUNK = 65_536
-_CHUNKS_IN_FLIGHT = 256
+#: Chunks that may be delayed or held back in one direction of a connection.
+_MAX_CHUNKS_IN_FLIGHT = 256
 
 
 class CutMode(enum.StrEnum):
-    """What happens to connections across a cut."""
+    """Whether a cut holds bytes back or aborts the connections."""
 
     HOLD = 'hold'
     BREAK = 'break'
@@ -32,7 +35,15 @@
 
 @attrs.frozen
 class Link:
-    """One address that stands for another."""
+    """One address whose connections are forwarded to another.
+
+    Attributes
+    ----------
+    listen, target
+        ``IP:port`` of both addresses.
+    zone
+        Zone of the target.
+    """
 
     listen: str
     target: str
@@ -46,10 +57,9 @@
     Attributes
     ----------
     cuts
-        Pairs of zones that are cut from each other; the order of a pair does
-        not matter.
+        Pairs of zones that are cut from each other, in either order.
     delay
-        Seconds one way between different zones.
+        One-way delay between different zones, in seconds.
     """
 
     cuts: list[tuple[str, str]] = attrs.field(factory=list)
@@ -58,17 +68,17 @@
 
 
 class NetworkStandIn:
-    """Passes bytes between the zones of a site."""
+    """Network that forwards bytes between the zones of a site."""
 
     def __init__(self, zones: Mapping[str, str]) -> None:
-        """Start with a whole network between zones, given by IP prefix."""
+        """Start without cuts; ``zones`` maps each zone to an IP prefix."""
         self._zones = zones
         self._conditions = Conditions()
         self._changed = asyncio.Condition()
         self._servers: list[asyncio.Server] = []
 
     def create_application(self) -> web.Application:
-        """Build the application with the switches."""
+        """Build the application with the control paths."""
         application = web.Application()
         application.add_routes(
             [
@@ -127,50 +137,54 @@
             origin = self._find_zone(writer.get_extra_info('peername')[0])
             pair = frozenset((origin, link.zone))
             try:
-                await self._join(reader, writer, link, pair)
+                await self._relay(reader, writer, link, pair)
             except OSError:
                 writer.transport.abort()
 
         return handle_connection
 
-    async def _join(
+    async def _relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         link: Link,
         pair: frozenset[str],
     ) -> None:
-        """Pass bytes both ways until either side ends or the link breaks."""
-        await self._wait_whole(pair)
+        """Relay bytes until both directions end or a cut breaks them."""
+        await self._wait_until_uncut(pair)
         target = Address.from_text(link.target)
-        far_reader, far_writer = await asyncio.open_connection(
+        target_reader, target_writer = await asyncio.open_connection(
             target.host,
             target.port,
         )
         tasks = {
-            asyncio.create_task(self._pump(reader, far_writer, pair)),
-            asyncio.create_task(self._pump(far_reader, writer, pair)),
+            asyncio.create_task(
+                self._relay_one_way(reader, target_writer, pair)
+            ),
+            asyncio.create_task(
+                self._relay_one_way(target_reader, writer, pair)
+            ),
         }
-        breaker = asyncio.create_task(self._wait_broken(pair))
-        passing = asyncio.gather(*tasks, return_exceptions=True)
+        breaker = asyncio.create_task(self._wait_until_broken(pair))
+        relaying = asyncio.gather(*tasks, return_exceptions=True)
         await asyncio.wait(
-            {asyncio.ensure_future(passing), breaker},
+            {asyncio.ensure_future(relaying), breaker},
             return_when=asyncio.FIRST_COMPLETED,
         )
         breaker.cancel()
         for task in tasks:
             task.cancel()
         writer.transport.abort()
-        far_writer.transport.abort()
+        target_writer.transport.abort()
 
-    async def _pump(
+    async def _relay_one_way(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         pair: frozenset[str],
     ) -> None:
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(
-            _CHUNKS_IN_FLIGHT,
+            _MAX_CHUNKS_IN_FLIGHT,
         )
         sender = asyncio.create_task(self._send(queue, writer, pair))
         try:
@@ -191,7 +205,7 @@
             due, chunk = await queue.get()
             if due > monotonic():
                 await asyncio.sleep(due - monotonic())
-            await self._wait_whole(pair)
+            await self._wait_until_uncut(pair)
             if not chunk:
                 writer.write_eof()
                 return
@@ -204,14 +218,14 @@
     def _is_cut(self, pair: frozenset[str]) -> bool:
         return any(frozenset(cut) == pair for cut in self._conditions.cuts)
 
-    async def _wait_whole(self, pair: frozenset[str]) -> None:
+    async def _wait_until_uncut(self, pair: frozenset[str]) -> None:
         if not self._is_cut(pair):
             return
         async with self._changed:
             while self._is_cut(pair):
                 await self._changed.wait()
 
-    async def _wait_broken(self, pair: frozenset[str]) -> None:
+    async def _wait_until_broken(self, pair: frozenset[str]) -> None:
         async with self._changed:
             while not self._is_broken(pair):
                 await self._changed.wait()
--- a/src/kelproad/standins/orders.py
+++ b/src/kelproad/standins/orders.py
@@ -1,4 +1,4 @@
-"""Stand-in for the part of an engine that takes orders."""
+"""Part of a stand-in engine that executes orders on its models and role."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,22 +19,23 @@
 
 __all__ = ['OrderedModels', 'fetch_weights', 'skip_weights']
 
-#: Fetches a model's weights; the seconds to wait when it is turned away.
+#: Fetches the weights of a model and version; returns the seconds after which
+#: to retry if the weight store refused, else 0.
 Fetch = Callable[[str, str], Awaitable[float]]
 
 
 @attrs.define
 class _Faults:
-    """What goes wrong with orders at present.
+    """The faults of orders that are injected at present.
 
     Attributes
     ----------
     failing
         Versions whose load fails.
     lose_answers
-        Number of orders still to come that are taken without an answer.
+        Number of further orders that are executed but not answered.
     load_seconds
-        Seconds that a load takes after its weights were fetched.
+        Seconds that a load takes after its weights are fetched.
     """
 
     failing: list[str] = attrs.field(factory=list)
@@ -43,7 +44,13 @@
 
 
 class OrderedModels:
-    """The models and the role of one engine, changed by orders."""
+    """The models and the role of one engine, as changed by orders.
+
+    Attributes
+    ----------
+    taken
+        Orders that were accepted, in order of arrival.
+    """
 
     def __init__(
         self,
@@ -53,7 +60,15 @@
         fetch: Fetch,
         count_running: Callable[[], int],
     ) -> None:
-        """Start with models, each given as ``name`` or ``name@version``."""
+        """Start with models, each given as ``name`` or ``name@version``.
+
+        Parameters
+        ----------
+        enforces
+            Whether orders with an outdated fencing token are refused.
+        count_running
+            Returns the number of streams for the reported state.
+        """
         split = [item.partition('@') for item in models]
         self._models = {
             name: ModelState(name, version) for name, _, version in split
@@ -70,16 +85,16 @@
         self.taken: list[Order] = []
 
     def routes(self) -> list[web.RouteDef]:
-        """List the paths of the orders API and its switches."""
+        """Return the routes of the orders API and its control paths."""
         return [
             web.get('/v1/state', self._show_state),
-            web.post('/v1/orders', self._take_order),
+            web.post('/v1/orders', self._handle_order),
             web.put('/control/orders', self._put_faults),
             web.get('/control/orders', self._show_taken),
         ]
 
     def list_ready(self) -> list[str]:
-        """List the models that are being served."""
+        """List the models that are ready to serve."""
         return [
             item.model
             for item in self._models.values()
@@ -87,7 +102,7 @@
         ]
 
     async def stop(self, _application: web.Application) -> None:
-        """End the loads under way."""
+        """Cancel the loads in progress."""
         for load in self._loads.values():
             load.cancel()
 
@@ -101,7 +116,7 @@
         )
         return _answer(state)
 
-    async def _take_order(self, http_request: web.Request) -> web.Response:
+    async def _handle_order(self, http_request: web.Request) -> web.Response:
         order = msgspec.json.decode(await http_request.read(), type=Order)
         if self._enforces and order.token < self._token:
             return web.json_response({'token': self._token}, status=409)
@@ -119,7 +134,7 @@
             return
         held = self._models.get(order.model)
         if order.kind is OrderKind.UNLOAD:
-            self._end_load(order.model)
+            self._cancel_load(order.model)
             self._models.pop(order.model, None)
             return
         if held and held.phase is not ModelPhase.FAILED:
@@ -129,7 +144,7 @@
                     held, adapters=adapters
                 )
                 return
-        self._end_load(order.model)
+        self._cancel_load(order.model)
         self._attempts += 1
         loading = ModelState(
             order.model,
@@ -141,7 +156,7 @@
         self._models[order.model] = loading
         self._loads[order.model] = asyncio.create_task(self._load(loading))
 
-    def _end_load(self, model: str) -> None:
+    def _cancel_load(self, model: str) -> None:
         load = self._loads.pop(model, None)
         if load is not None:
             load.cancel()
@@ -176,12 +191,12 @@
 
 
 async def skip_weights(_model: str, _version: str) -> float:
-    """Load without asking any weight store."""
+    """Fetch nothing, for engines without a weight store."""
     return 0
 
 
 def fetch_weights(address: str) -> Fetch:
-    """Build a fetch from the platform's weight store at an address."""
+    """Return a function that fetches from the weight store at an address."""
 
     async def fetch(model: str, version: str) -> float:
         url = f'http://{address}/weights/{model}/{version or "any"}'
--- a/src/kelproad/standins/passes.py
+++ b/src/kelproad/standins/passes.py
@@ -1,8 +1,9 @@
-"""Emulator of engines that work in passes, by their published figures.
+"""Discrete-event simulation of engines, by their published cost figures.
 
-No network and no waiting: time is counted, so that a minute of load plays in a
-second.  It answers what callers would get from a policy of placing: when the
-first event of each prompt comes, and the longest pause of its stream.
+An engine works in passes: each iteration prefills all prompt parts that wait
+and decodes one event of every running stream.  Time is simulated, so that a
+minute of load takes about a second.  The results show how a placement policy
+serves callers: the time of each first event, and the longest stall of a stream.
 """
 
 import heapq
@@ -18,96 +19,124 @@
 
 @attrs.define
 class EmulatedCall:
-    """One prompt and what became of it.
+    """One call and the timing of its stream.
 
     Attributes
     ----------
+    arrived
+        Simulated time of its arrival, in seconds.
+    tokens
+        Length of its prompt.
     events
-        Events of its stream, each as long as a pass.
-    unread
-        Parts of its prompt that have yet to be read.
-    first_at
-        When its first event came.
+        Number of events of its stream, one per pass.
+    pending_parts
+        Parts of its prompt that still have to be prefilled.
+    first_at, last_at
+        Simulated times of its first and of its latest event.
     longest_gap
-        Longest pause between two events.
+        Longest time between two events, in seconds.
+    produced
+        Events produced so far.
     """
 
     name: int
     arrived: float
     tokens: int
     events: int
-    unread: int = 1
+    pending_parts: int = 1
     first_at: float | None = None
     last_at: float = 0
     longest_gap: float = 0
-    written: int = 0
+    produced: int = 0
 
-    def note_event(self, now: float) -> None:
-        """Take in an event."""
+    def record_event(self, now: float) -> None:
+        """Record an event at the time ``now``."""
         if self.first_at is None:
             self.first_at = now
         else:
             self.longest_gap = max(self.longest_gap, now - self.last_at)
         self.last_at = now
-        self.written += 1
+        self.produced += 1
 
 
 @attrs.define
 class EmulatedEngine:
-    """One engine: parts that wait to be read, and streams it writes."""
+    """One engine with its prompt parts and streams.
+
+    Attributes
+    ----------
+    waiting
+        Prompt parts for the next pass: a call and the seconds of its prefill.
+    prefilling
+        Prompt parts that the present pass prefills.
+    decoding
+        Calls whose streams are being decoded.
+    answering
+        Calls that will be decoded here once all parts are prefilled.
+    running
+        Whether a pass is in progress.
+    """
 
     name: str
     profile: EngineProfile
     waiting: list[tuple[EmulatedCall, float]] = attrs.field(factory=list)
-    reading: list[tuple[EmulatedCall, float]] = attrs.field(factory=list)
-    writing: list[EmulatedCall] = attrs.field(factory=list)
+    prefilling: list[tuple[EmulatedCall, float]] = attrs.field(factory=list)
+    decoding: list[EmulatedCall] = attrs.field(factory=list)
     answering: list[EmulatedCall] = attrs.field(factory=list)
     running: bool = False
 
     def begin_pass(self) -> float:
-        """Begin a pass with all that waits; return its seconds."""
-        self.reading = self.waiting
+        """Begin a pass over all waiting parts; return its seconds."""
+        self.prefilling = self.waiting
         self.waiting = []
-        seconds = sum(part for _, part in self.reading)
-        if self.writing or self.reading:
+        seconds = sum(part for _, part in self.prefilling)
+        if self.decoding or self.prefilling:
             seconds += self.profile.predict_decode(
-                len(self.writing) + len(self.reading),
-                sum(call.tokens for call in self.writing),
+                len(self.decoding) + len(self.prefilling),
+                sum(call.tokens for call in self.decoding),
             )
         self.running = True
         return seconds
 
     def end_pass(self, now: float) -> list[EmulatedCall]:
-        """End the pass: streams get an event; return those that are done."""
-        for call in self.writing:
-            call.note_event(now)
-        done = [call for call in self.writing if call.written >= call.events]
-        self.writing = [
-            call for call in self.writing if call.written < call.events
+        """End the pass, with an event per stream; return the calls that end."""
+        for call in self.decoding:
+            call.record_event(now)
+        done = [call for call in self.decoding if call.produced >= call.events]
+        self.decoding = [
+            call for call in self.decoding if call.produced < call.events
         ]
-        for call, _ in self.reading:
-            call.unread -= 1
-        self.reading = []
+        for call, _ in self.prefilling:
+            call.pending_parts -= 1
+        self.prefilling = []
         self.running = False
         return done
 
-    def take_ready(self, now: float) -> list[EmulatedCall]:
-        """Let streams begin whose prompts are read wholly."""
-        ready = [call for call in self.answering if not call.unread]
-        self.answering = [call for call in self.answering if call.unread]
+    def start_ready(self, now: float) -> list[EmulatedCall]:
+        """Start and return the streams whose prompts are prefilled completely."""
+        ready = [call for call in self.answering if not call.pending_parts]
+        self.answering = [call for call in self.answering if call.pending_parts]
         for call in ready:
-            call.note_event(now)
-            self.writing.append(call)
+            call.record_event(now)
+            self.decoding.append(call)
         return ready
 
     @property
     def has_work(self) -> bool:
-        """Whether a pass would do anything."""
-        return bool(self.waiting or self.writing)
+        """Whether a pass would prefill or decode anything."""
+        return bool(self.waiting or self.decoding)
 
 
 class Emulation:
-    """Engines, and a clock that jumps from event to event."""
+    """Engines, and a simulated clock that advances from event to event.
+
+    Attributes
+    ----------
+    now
+        Simulated time in seconds.
+    on_first, on_end
+        Called with a call at its first event, and after its last one.
+    """
 
     def __init__(self, profile: EngineProfile, engines: int) -> None:
         """Start at time 0 with idle engines."""
@@ -116,54 +145,63 @@
         self.engines = {name: EmulatedEngine(name, profile) for name in names}
         self.calls: list[EmulatedCall] = []
         self._order = itertools.count()
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        #: Called with a call whose first event came, and with one that ended.
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self.on_first: Callable[[EmulatedCall], None] = _ignore
         self.on_end: Callable[[EmulatedCall], None] = _ignore
 
     def schedule(self, at: float, act: Callable[[], None]) -> None:
-        """Have something done at a time."""
-        heapq.heappush(self._due, (at, next(self._order), act))
+        """Run ``act`` when the clock reaches ``at``."""
+        heapq.heappush(self._scheduled, (at, next(self._order), act))
 
     def send(
         self,
         call: EmulatedCall,
         first: str,
-        readers: list[str],
+        prefill_engines: list[str],
         part: float,
     ) -> None:
-        """Send a prompt to the engine that answers and to those that read."""
+        """Queue a call at its engines.
+
+        Parameters
+        ----------
+        first
+            Engine that decodes the stream.
+        prefill_engines
+            Engines that prefill a part of the prompt each.
+        part
+            Seconds of prefill of each part.
+        """
         self.calls.append(call)
-        call.unread = len(readers)
+        call.pending_parts = len(prefill_engines)
         self.engines[first].answering.append(call)
-        for name in readers:
+        for name in prefill_engines:
             engine = self.engines[name]
             engine.waiting.append((call, part))
-            self._wake(engine)
+            self._start_pass(engine)
 
     def run(self) -> None:
-        """Play until nothing is left to do."""
-        while self._due:
-            due = heapq.heappop(self._due)
-            self.now = due[0]
-            due[-1]()
+        """Run the simulation until no event is scheduled."""
+        while self._scheduled:
+            earliest = heapq.heappop(self._scheduled)
+            self.now = earliest[0]
+            earliest[-1]()
 
-    def _wake(self, engine: EmulatedEngine) -> None:
+    def _start_pass(self, engine: EmulatedEngine) -> None:
         if not engine.running and engine.has_work:
             seconds = engine.begin_pass()
-            self.schedule(self.now + seconds, lambda: self._end(engine))
+            self.schedule(self.now + seconds, lambda: self._end_pass(engine))
 
-    def _end(self, engine: EmulatedEngine) -> None:
+    def _end_pass(self, engine: EmulatedEngine) -> None:
         done = engine.end_pass(self.now)
-        # A prompt is read when its last part is, at whichever engine.
+        # The last part of a prompt may be prefilled at any engine.
         for other in self.engines.values():
-            for call in other.take_ready(self.now):
+            for call in other.start_ready(self.now):
                 self.on_first(call)
-            self._wake(other)
+            self._start_pass(other)
         for call in done:
             self.on_end(call)
-        self._wake(engine)
+        self._start_pass(engine)
 
 
 def _ignore(_call: EmulatedCall) -> None:
-    """Take no note."""
+    """Do nothing."""
