--- a/src/kelproad/standins/passes.py
+++ b/src/kelproad/standins/passes.py
@@ -113,7 +113,7 @@
         return done
 
     def start_ready(self, now: float) -> list[EmulatedCall]:
-        """Start and return the streams whose prompts are prefilled completely."""
+        """Start and return the calls whose prompts are prefilled completely."""
         ready = [call for call in self.answering if not call.pending_parts]
         self.answering = [call for call in self.answering if call.pending_parts]
         for call in ready:
@@ -156,7 +156,7 @@
     def send(
         self,
         call: EmulatedCall,
-        first: str,
+        primary: str,
         prefill_engines: list[str],
         part: float,
     ) -> None:
@@ -164,7 +164,7 @@
 
         Parameters
         ----------
-        first
+        primary
             Engine that decodes the stream.
         prefill_engines
             Engines that prefill a part of the prompt each.
@@ -173,7 +173,7 @@
         """
         self.calls.append(call)
         call.pending_parts = len(prefill_engines)
-        self.engines[first].answering.append(call)
+        self.engines[primary].answering.append(call)
         for name in prefill_engines:
             engine = self.engines[name]
             engine.waiting.append((call, part))
--- a/src/kelproad/standins/platform.py
+++ b/src/kelproad/standins/platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform: tables, objects, weights, list of instances.
 
-Switches under ``/control`` bring about outages, slowness and answers that are
-lost after the write took effect.
+Paths under ``/control`` inject outages, delays, and answers that are lost after
+their write took effect.
 """
 
 import asyncio
@@ -17,32 +17,34 @@
 
 __all__ = ['Faults', 'PlatformStandIn']
 
+#: Bytes of an object.
 _MAX_OBJECT = 32 * 1024 * 1024
 
 
 @attrs.define
 class Faults:
-    """What goes wrong at present.
+    """The faults that are injected at present.
 
     Attributes
     ----------
     down
-        Every call is refused at once.
+        Every call is answered with status 503 at once.
     hang
         No call is answered.
     delay
-        Seconds by which every call is late.
+        Seconds by which every call is delayed.
     delay_answers
-        Seconds after which writes are answered that have taken effect.
+        Seconds between the effect of a write and its answer.
     lose_answers
-        Number of writes still to come that take effect without an answer.
+        Number of further writes that take effect but are not answered.
     lose_writes
-        Number of writes still to come that neither take effect nor answer.
+        Number of further writes that neither take effect nor are answered.
     late_writes
-        Number of writes still to come that take effect ``lateness`` seconds
-        after their connection broke.
+        Number of further writes that take effect ``lateness`` seconds after
+        their connection was aborted.
     only
-        Start of the paths whose writes are lost or late; empty for all.
+        Path prefix of the writes that the four settings above apply to; empty
+        for all.
     """
 
     down: bool = False
@@ -62,10 +64,24 @@
 
 
 class PlatformStandIn:
-    """Tables with conditional transactions, objects and a lagging list."""
+    """Tables with conditional transactions, objects and a delayed list.
+
+    Attributes
+    ----------
+    calls
+        Number of calls by method and path, those under ``/control`` excluded.
+    """
 
     def __init__(self, lag: float = 1.0, weight_loads: int = 2) -> None:
-        """Start empty; ``weight_loads`` may be fetched at the same time."""
+        """Start empty.
+
+        Parameters
+        ----------
+        lag
+            Seconds after which a change shows in the list of instances.
+        weight_loads
+            Number of fetches of weights that may run at the same time.
+        """
         self._tables: dict[str, dict[str, Row]] = collections.defaultdict(dict)
         self._blobs: dict[str, bytes] = {}
         self._instances: dict[str, ListedInstance] = {}
@@ -76,11 +92,11 @@
         ]
         self._weights = asyncio.Semaphore(weight_loads)
         self.faults = Faults()
-        self._landings: set[asyncio.Task[None]] = set()
+        self._late_writes: set[asyncio.Task[None]] = set()
         self.calls: collections.Counter[str] = collections.Counter()
 
     def create_application(self) -> web.Application:
-        """Build the application to serve."""
+        """Build the application with its control paths."""
         application = web.Application(
             client_max_size=_MAX_OBJECT,
             middlewares=[self._apply_faults],
@@ -136,10 +152,12 @@
         if faults.late_writes > 0:
             faults.late_writes -= 1
             await http_request.read()
-            # A task of its own: the server cancels the handler of a connection
-            # that is gone.
-            landing = asyncio.create_task(self._land(http_request, handler))
-            self._landings.add(landing)
+            # In a separate task, since the server cancels the handler of a
+            # connection that is closed.
+            late_write = asyncio.create_task(
+                self._write_late(http_request, handler),
+            )
+            self._late_writes.add(late_write)
             http_request.transport.abort()
             return web.Response()
         answer = await handler(http_request)
@@ -149,7 +167,7 @@
             http_request.transport.abort()
         return answer
 
-    async def _land(
+    async def _write_late(
         self,
         http_request: web.Request,
         handler: Handler,
@@ -165,7 +183,9 @@
             type=_Transaction,
         )
         conflicts = [
-            write.key for write in transaction.writes if not self._holds(write)
+            write.key
+            for write in transaction.writes
+            if not self._matches_expectation(write)
         ]
         if conflicts:
             return web.json_response({'conflicts': conflicts}, status=409)
@@ -173,7 +193,7 @@
             self._write(write)
         return web.json_response({})
 
-    def _holds(self, write: Write) -> bool:
+    def _matches_expectation(self, write: Write) -> bool:
         row = self._tables[write.table].get(write.key)
         version = row.version if row else ABSENT
         return write.expect is None or write.expect == version
@@ -199,8 +219,8 @@
         keys = sorted(
             key for key in table if key.startswith(prefix) and key > after
         )
-        wanted = keys[: int(query.get('limit', '500'))]
-        return _answer_rows([table[key] for key in wanted])
+        selected = keys[: int(query.get('limit', '500'))]
+        return _answer_rows([table[key] for key in selected])
 
     # Objects and weights
 
@@ -225,11 +245,13 @@
     # Instances
 
     async def _list_instances(self, _http_request: web.Request) -> web.Response:
-        visible = monotonic() - self._lag
-        shown = [
-            listing for since, listing in self._listings if since <= visible
+        visible_until = monotonic() - self._lag
+        visible = [
+            listing
+            for changed_at, listing in self._listings
+            if changed_at <= visible_until
         ]
-        return _answer(shown[-1])
+        return _answer(visible[-1])
 
     async def _put_member(self, http_request: web.Request) -> web.Response:
         instance = msgspec.json.decode(
@@ -255,7 +277,7 @@
         self._listings.append((monotonic(), listing))
         return web.json_response({})
 
-    # Switches
+    # Control paths
 
     async def _put_faults(self, http_request: web.Request) -> web.Response:
         self.faults = msgspec.json.decode(
--- a/src/kelproad/standins/routed.py
+++ b/src/kelproad/standins/routed.py
@@ -1,9 +1,10 @@
 """Stand-in for an endpoint of the routed interface: engine or plain service.
 
-It answers any path, says what it ran, reserves memory, and fails as it is told
-under ``/control``.  An engine writes numbered events at a fixed pace, as many
-and as slowly as the query asks for, a plain service as many bytes; how long
-engines really take is the placing's matter, not this one's.
+It answers any path, records the calls that it ran, reserves memory, and injects
+faults that are set under ``/control``.  As an engine it sends numbered events
+at a fixed pace, as a plain service a text; the query may set the number and
+pace of events or the length of the text.  The timing of real engines is not
+modelled here, but in ``passes``.
 """
 
 import asyncio
@@ -29,27 +30,27 @@
 
 @attrs.define
 class EndpointFaults:
-    """How it answers at present.
+    """How calls are answered at present.
 
     Attributes
     ----------
     shed
-        Refuse calls, which are not run.
+        Refuse calls before they run.
     error
         Run calls and answer with an error.
     lose
-        Run calls and reset their connections.
+        Run calls and abort their connections.
     hang
         Run calls and never answer.
     break_after
-        Break a stream off behind so many events, in the midst of the next;
+        Truncate a stream after this many events, within the next one;
         negative for never.
     crossed
-        Answer with the id of another call.
+        Answer with the request id of another call.
     pace
-        Seconds between two events, and before a plain answer.
+        Seconds before each answer, and between two events.
     events
-        Events of a stream.
+        Number of events of a stream, unless the query says otherwise.
     """
 
     shed: bool = False
@@ -64,49 +65,51 @@
 
 @attrs.define
 class _Ticket:
+    """A reservation of memory; ``expires_at`` is a monotonic time."""
+
     tokens: int
-    lapses_at: float
+    expires_at: float
 
 
 class RoutedEndpointStandIn:
-    """One endpoint, under the id that it would list itself with."""
+    """One endpoint; ``name`` is the id that it is listed with."""
 
     def __init__(self, name: str, memory_tokens: int = 232_000) -> None:
-        """Start well, with all memory free."""
+        """Start without faults and with all memory free."""
         self._name = name
         self._memory = memory_tokens
         self._tickets: dict[str, _Ticket] = {}
         self._faults = EndpointFaults()
         self._runs: list[dict[str, str]] = []
-        self._left: list[str] = []
+        self._disconnected: list[str] = []
         self._orders: collections.Counter[str] = collections.Counter()
 
     def create_application(self) -> web.Application:
-        """Build the application to serve."""
+        """Build the application with its control paths."""
         application = web.Application()
         application.add_routes(
             [
                 web.put('/control/faults', self._put_faults),
                 web.get('/control/runs', self._show_runs),
-                web.post('/-/order', self._take_order),
+                web.post('/-/order', self._handle_order),
                 web.get('/-/report', self._report),
                 web.route('*', '/{path:.*}', self._answer),
             ],
         )
         return application
 
-    # Switches
+    # Control paths
 
     async def _put_faults(self, http_request: web.Request) -> web.Response:
         self._faults = EndpointFaults(**await http_request.json())
         return web.json_response({})
 
     async def _show_runs(self, _http_request: web.Request) -> web.Response:
-        self._drop_lapsed()
+        self._drop_expired()
         return web.json_response(
             {
                 'runs': self._runs,
-                'left': self._left,
+                'left': self._disconnected,
                 'orders': self._orders,
                 'tickets': list(self._tickets),
             },
@@ -114,10 +117,10 @@
 
     # Memory
 
-    async def _take_order(self, http_request: web.Request) -> web.Response:
+    async def _handle_order(self, http_request: web.Request) -> web.Response:
         order = await http_request.json()
         self._orders[order['operation']] += 1
-        self._drop_lapsed()
+        self._drop_expired()
         if order['operation'] == 'release':
             self._tickets.pop(order['id'], None)
             return web.json_response({'free': self._count_free()})
@@ -134,10 +137,10 @@
     async def _report(self, _http_request: web.Request) -> web.Response:
         return web.json_response({'kv_total': self._memory})
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         now = monotonic()
         for name, ticket in list(self._tickets.items()):
-            if ticket.lapses_at < now:
+            if ticket.expires_at < now:
                 self._tickets.pop(name)
 
     def _count_free(self) -> int:
@@ -164,7 +167,7 @@
         try:
             return await self._run(http_request)
         except (asyncio.CancelledError, ConnectionError):
-            self._left.append(http_request.headers.get(_REQUEST_ID, ''))
+            self._disconnected.append(http_request.headers.get(_REQUEST_ID, ''))
             raise
 
     async def _run(self, http_request: web.Request) -> web.StreamResponse:
@@ -177,14 +180,14 @@
         if faults.error:
             return web.Response(
                 status=_ERROR,
-                headers=self._head(http_request),
+                headers=self._build_headers(http_request),
                 text='failed here',
             )
         if 'X-Kelproad-Token-Count' in http_request.headers:
             return await self._write_events(http_request)
         length = int(http_request.query.get('bytes', 0))
         return web.Response(
-            headers=self._head(http_request),
+            headers=self._build_headers(http_request),
             text=f'answer of {self._name}'.ljust(length),
         )
 
@@ -194,14 +197,14 @@
     ) -> web.StreamResponse:
         response = web.StreamResponse(
             headers={
-                **self._head(http_request),
+                **self._build_headers(http_request),
                 'Content-Type': 'text/event-stream',
             },
         )
         await response.prepare(http_request)
         last = int(http_request.headers.get('Last-Event-Id', 0))
         events = int(http_request.query.get('events', self._faults.events))
-        asked_pace = float(http_request.query.get('pace', 0))
+        requested_pace = float(http_request.query.get('pace', 0))
         for number in range(last + 1, events + 1):
             if number - last == self._faults.break_after + 1:
                 await response.write(f'id: {number}\ndata: bro'.encode())
@@ -209,10 +212,10 @@
                 return response
             event = f'id: {number}\ndata: piece {number}\n\n'
             await response.write(event.encode())
-            await asyncio.sleep(max(self._faults.pace, asked_pace))
+            await asyncio.sleep(max(self._faults.pace, requested_pace))
         return response
 
-    def _head(self, http_request: web.Request) -> dict[str, str]:
+    def _build_headers(self, http_request: web.Request) -> dict[str, str]:
         request_id = http_request.headers.get(_REQUEST_ID, '')
         return {
             _REQUEST_ID: 'ffff' if self._faults.crossed else request_id,
--- a/src/kelproad/standins/rowstore.py
+++ b/src/kelproad/standins/rowstore.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform's row store: rows, transactions, changes.
 
-What the published protocol says of rows, with switches under ``/control`` that
-bring about outages, slowness, lost answers and lost history.
+It implements the published protocol for rows; paths under ``/control`` inject
+outages, delays, lost answers and lost history.
 """
 
 import asyncio
@@ -18,9 +18,12 @@
 
 __all__ = ['RowStoreStandIn']
 
-Place = tuple[str, str, str]
-_MOST_ROWS = 500
+#: Table, part and key of a row.
+RowId = tuple[str, str, str]
+#: Rows of one answer.
+_MAX_ROWS = 500
 _MILLISECONDS = 1000
+#: Tables that transactions may not write.
 _PROTECTED = frozenset(('op', 'servers'))
 
 
@@ -41,7 +44,7 @@
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong at present.
+    """The faults that are injected at present.
 
     Attributes
     ----------
@@ -50,9 +53,9 @@
     hang
         No call is answered.
     delay
-        Seconds by which every call is late.
+        Seconds by which every call is delayed.
     lose_answers
-        Writes still to come that take effect without an answer.
+        Number of further writes that take effect but are not answered.
     """
 
     status: int = 0
@@ -62,13 +65,13 @@
 
 
 class RowStoreStandIn:
-    """Rows in tables, with one version counter over all of them."""
+    """Rows in tables that share one version counter."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._rows: dict[Place, _Row] = {}
+        """Start without rows and without faults."""
+        self._rows: dict[RowId, _Row] = {}
         self._history: list[_Row] = []
-        self._oldest = 0
+        self._oldest_revision = 0
         self._versions = itertools.count(1)
         self._version = 0
         self._changed = asyncio.Condition()
@@ -76,7 +79,7 @@
         self._calls: collections.Counter[str] = collections.Counter()
 
     def create_application(self) -> web.Application:
-        """Build the application to serve."""
+        """Build the application with its control paths."""
         application = web.Application(middlewares=[self._apply_faults])
         application.add_routes(
             [
@@ -109,22 +112,22 @@
     # The protocol
 
     async def _transact(self, http_request: web.Request) -> web.StreamResponse:
-        wanted = msgspec.json.decode(
+        transaction = msgspec.json.decode(
             await http_request.read(),
             type=_Transaction,
         )
-        tables = {row.table for row in (*wanted.puts, *wanted.remove)}
+        tables = {row.table for row in (*transaction.puts, *transaction.remove)}
         if tables & _PROTECTED:
             return web.Response(status=403)
-        current = [self._find(row) for row in wanted.expected_revision]
+        current = [self._find(row) for row in transaction.expected_revision]
         for expected, held in zip(
-            wanted.expected_revision,
+            transaction.expected_revision,
             current,
             strict=True,
         ):
             if expected.row_version != held.row_version:
                 return self._answer(current, status=412)
-        await self._write(wanted.puts, wanted.remove)
+        await self._write(transaction.puts, transaction.remove)
         if self._faults.lose_answers:
             self._faults.lose_answers -= 1
             http_request.transport.abort()
@@ -132,13 +135,13 @@
 
     async def _read(self, http_request: web.Request) -> web.Response:
         query = http_request.query
-        first = query.get('from', '')
-        limit = min(int(query.get('limit', _MOST_ROWS)), _MOST_ROWS)
+        first_key = query.get('from', '')
+        limit = min(int(query.get('limit', _MAX_ROWS)), _MAX_ROWS)
         found = [
             row
-            for place, row in sorted(self._rows.items())
-            if place[:2] == (query['table'], query.get('part', ''))
-            and place[2] >= first
+            for row_id, row in sorted(self._rows.items())
+            if row_id[:2] == (query['table'], query.get('part', ''))
+            and row_id[2] >= first_key
         ]
         return self._answer(found[:limit], has_more=len(found) > limit)
 
@@ -149,7 +152,7 @@
         while True:
             if self._faults.status:
                 return web.Response(status=self._faults.status)
-            if after < self._oldest:
+            if after < self._oldest_revision:
                 return web.Response(status=410)
             found = [
                 row
@@ -165,23 +168,25 @@
                 except asyncio.TimeoutError:
                     return self._answer([])
 
-    # Switches
+    # Control paths
 
     async def _put_row(self, http_request: web.Request) -> web.Response:
-        """Write a row as operators and endpoints do; the body is its value."""
-        place = http_request.match_info
+        """Write a row, any table included; the request body is its value."""
+        segments = http_request.match_info
         value = base64.b64encode(await http_request.read()).decode()
-        await self._write([_Row(place['table'], '', place['key'], value)], [])
+        await self._write(
+            [_Row(segments['table'], '', segments['key'], value)], []
+        )
         return web.json_response({})
 
     async def _drop_row(self, http_request: web.Request) -> web.Response:
-        place = http_request.match_info
-        await self._write([], [_Row(place['table'], '', place['key'])])
+        segments = http_request.match_info
+        await self._write([], [_Row(segments['table'], '', segments['key'])])
         return web.json_response({})
 
     async def _put_faults(self, http_request: web.Request) -> web.Response:
         self._faults = StoreFaults(**await http_request.json())
-        # An outage also ends the calls that wait.
+        # Calls that wait for changes end too when an outage begins.
         await self._notify()
         return web.json_response({})
 
@@ -189,7 +194,7 @@
         self,
         _http_request: web.Request,
     ) -> web.Response:
-        self._oldest = self._version + 1
+        self._oldest_revision = self._version + 1
         self._version = next(self._versions)
         self._history = []
         await self._notify()
--- a/src/kelproad/standins/service.py
+++ b/src/kelproad/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service, such as the book of logged test runs.
+"""Stand-in for a plain service that records entries, such as logged test runs.
 
-It counts the effects of each call by the caller's own reference, so that a
-test can see whether work ran twice.
+It counts the effects of calls by the reference that the caller sends, so that a
+test can detect work that ran twice.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 
 @attrs.define
 class _Faults:
-    """What goes wrong at present.
+    """The faults that are injected at present.
 
     Attributes
     ----------
     delay
         Seconds between the effect and the answer.
     lose_answers
-        Number of calls still to come that take effect without an answer.
+        Number of further calls that take effect but are not answered.
     refuse
-        Number of calls still to come that are refused before any effect.
+        Number of further calls that are refused without any effect.
     """
 
     delay: float = 0
@@ -34,22 +34,22 @@
 
 
 class ServiceStandIn:
-    """Books entries and tells how often each was booked."""
+    """Service that records entries and counts how often each was recorded."""
 
     def __init__(self) -> None:
-        """Start with an empty book."""
+        """Start without entries and without faults."""
         self._effects: collections.Counter[str] = collections.Counter()
         self._faults = _Faults()
 
     def create_application(self) -> web.Application:
-        """Build the application to serve."""
+        """Build the application with its control path."""
         application = web.Application()
         application.add_routes(
             [
                 web.get('/entries', self._list_entries),
                 web.get('/headers', self._show_headers),
-                web.post('/entries', self._book),
-                web.put('/entries/{name}', self._book),
+                web.post('/entries', self._record_entry),
+                web.put('/entries/{name}', self._record_entry),
                 web.put('/control/faults', self._put_faults),
             ],
         )
@@ -61,7 +61,7 @@
     async def _show_headers(self, http_request: web.Request) -> web.Response:
         return web.json_response(dict(http_request.headers))
 
-    async def _book(self, http_request: web.Request) -> web.Response:
+    async def _record_entry(self, http_request: web.Request) -> web.Response:
         faults = self._faults
         if faults.refuse > 0:
             faults.refuse -= 1
--- a/src/kelproad/standins/settings.py
+++ b/src/kelproad/standins/settings.py
@@ -19,19 +19,19 @@
     Attributes
     ----------
     time_scale
-        Factor by which the engine runs faster than the rates say, so that a
-        demo lasts seconds.
+        Factor by which the engine runs faster than its rates, so that a demo
+        takes only seconds.
     event_lag, load_lag
-        Seconds by which cache events and load reports are late.
+        Seconds by which cache events and load reports are delayed.
     interrupts_prefill
-        Whether a prompt of higher priority goes between the chunks of another,
-        as in engines whose scheduler picks the prompt anew at every step.
+        Whether a prompt of higher priority preempts another between its chunks,
+        as in engines whose scheduler selects the prompt anew at each step.
     event_gap
-        Every how many cache events one is lost; 0 for never.
+        Every n-th cache event is lost; 0 for never.
     continues
-        Whether an answer is continued from a text that another engine began.
+        Whether an answer can be continued from text that another engine began.
     fingerprint
-        Tells which build of the model answers.
+        Identifies the build of the model that answers.
     weights_address
         ``IP:port`` of the platform's weight store; without it, loads fetch
         nothing.
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_file(cls, path: pathlib.Path | None) -> Self:
-        """Read the settings, or take the defaults."""
+        """Read the settings, or exit with their problems; no path: defaults."""
         if path is None:
             return cls()
         document = read_document(path.read_text(), str(path))
--- a/src/kelproad/standins/storefaults.py
+++ b/src/kelproad/standins/storefaults.py
@@ -1,4 +1,4 @@
-"""What goes wrong alike at the stand-ins of both stores."""
+"""Faults that the stand-ins of both stores have in common."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,12 +8,12 @@
 __all__ = ['Handler', 'hold_up']
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-#: Seconds for which a call hangs: longer than any test waits.
+#: Seconds for which a call hangs, longer than any test waits.
 _HANG = 3600.0
 
 
 async def hold_up(hang: bool, delay: float) -> None:
-    """Keep a call waiting: for ever, or by so many seconds."""
+    """Delay a call by some seconds, or for an hour if it is to hang."""
     if hang:
         await asyncio.sleep(_HANG)
     if delay:
--- a/src/kelproad/standins/streams.py
+++ b/src/kelproad/standins/streams.py
@@ -28,13 +28,14 @@
     Attributes
     ----------
     to_prefill
-        Prompt tokens that are not computed yet.
+        Prompt tokens that have not been prefilled yet.
     produced
-        Tokens of the answer so far, those of another engine included.
+        Tokens of the answer so far, including those of another engine that it
+        continues.
     events
-        Data of the events produced so far, the terminal one included.
+        Payloads of the events so far, including the terminal ``[DONE]``.
     connections
-        Connections on which the events are being read.
+        Number of connections that the events are being sent on.
     """
 
     attempt_id: str
@@ -64,7 +65,7 @@
         fields: RawFields,
         settings: EngineSettings,
     ) -> Self:
-        """Take a completion as its headers and body describe it."""
+        """Create a stream from the headers and body of a completion request."""
         chat = 'messages' in fields
         prompt = bytes(fields['messages' if chat else 'prompt'])
         limit = fields.get('max_tokens')
@@ -86,7 +87,7 @@
 
     @classmethod
     def forge(cls, attempt_id: str, model: str, number: int) -> Self:
-        """Make a stream of another prompt that goes on at an event number."""
+        """Create a stream of another prompt, from an event number on."""
         return cls(
             attempt_id=attempt_id,
             owner='',
@@ -103,31 +104,31 @@
         )
 
     def continue_from(self, text: str) -> bool:
-        """Go on behind a text; false when it is not the model's own."""
+        """Continue a text; return false if the model would not produce it."""
         produced = text.count('#')
-        own = ''.join(
+        expected = ''.join(
             compose_token(self.digest, position)
             for position in range(1, produced + 1)
         )
-        if text != own:
+        if text != expected:
             return False
         self.produced = produced
         self.prompt_tokens += produced
         return True
 
     async def wait_beyond(self, number: int) -> None:
-        """Wait until there are more events than a number, or no more."""
+        """Wait until there are more than ``number`` events, or a cancel."""
         async with self.changed:
             while len(self.events) <= number and not self.cancelled:
                 await self.changed.wait()
 
     @property
     def memory(self) -> int:
-        """Tokens of KV cache that the stream needs."""
+        """Tokens of KV cache that the stream needs until its end."""
         return self.prompt_tokens + self.max_tokens
 
     def encode_token(self, last: bool) -> bytes:
-        """Encode the event of the token produced last."""
+        """Encode the latest token as the payload of an event."""
         text = compose_token(self.digest, self.produced)
         part = (
             f'"delta": {{"role": "assistant", "content": "{text}"}}'
@@ -146,12 +147,12 @@
 
 
 def count_tokens(prompt: bytes) -> int:
-    """Count a prompt's tokens as the model would."""
+    """Return the number of tokens that a prompt counts as, at least 1."""
     return max(1, len(prompt) // _BYTES_PER_TOKEN)
 
 
 def digest_blocks(prompt: bytes) -> list[str]:
-    """Digest the prompt's blocks, each together with all before it."""
+    """Return a digest of each full block, which covers all before it too."""
     size = BLOCK_TOKENS * _BYTES_PER_TOKEN
     running = hashlib.blake2b(digest_size=8)
     digests = []
--- a/src/kelproad/standins/texts.py
+++ b/src/kelproad/standins/texts.py
@@ -1,7 +1,7 @@
-"""The text that a stand-in engine answers with.
+"""Deterministic text of the answers of a stand-in engine.
 
-It is a function of the prompt and of the position in the answer, so that a
-test can tell from an answer alone whether it is whole and whose it is.
+Each token depends only on the prompt and its position in the answer, so that a
+test can check whether an answer is complete and belongs to its prompt.
 """
 
 import hashlib
@@ -14,7 +14,7 @@
 
 
 def digest_prompt(prompt: object) -> str:
-    """Digest a prompt or a list of messages, however it was spaced."""
+    """Digest a prompt or a list of messages, whatever the JSON white space."""
     encoded = msgspec.json.encode(prompt)
     return hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES).hexdigest()
 
@@ -25,7 +25,7 @@
 
 
 def compose_answer(prompt: object, tokens: int) -> str:
-    """Compose the whole answer to a prompt."""
+    """Compose the complete answer to a prompt."""
     digest = digest_prompt(prompt)
     return ''.join(
         compose_token(digest, position) for position in range(1, tokens + 1)
