--- a/src/kelproad/cli/client.py
+++ b/src/kelproad/cli/client.py
@@ -79,8 +79,8 @@
         typer.echo(f'{server} cannot be reached: {failure}', err=True)
         if method == 'POST':
             typer.echo(
-                'the outcome is unknown; repeat the command '
-                '(an apply with its --apply-id)',
+                'the outcome is unknown; repeat the command, '
+                'with the same --apply-id if it has one',
                 err=True,
             )
     raise typer.Exit(_EXIT_REFUSED)
--- a/src/kelproad/cli/serve.py
+++ b/src/kelproad/cli/serve.py
@@ -62,11 +62,11 @@
     path = settings or pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ''))
     loaded = _require(load_node_settings(path))
     holder = SettingsHolder(loaded, lambda: load_node_settings(path))
-    lines = configure_structured_logging(loaded.instance)
+    log_writer = configure_structured_logging(loaded.instance)
     try:
         return asyncio.run(_run_node(create_node(holder)))
     finally:
-        lines.stop()
+        log_writer.stop()
 
 
 def _require(loaded: Result[object, Sequence[object]]) -> object:
--- a/src/kelproad/cli/standins.py
+++ b/src/kelproad/cli/standins.py
@@ -82,7 +82,7 @@
         typer.Option(help='NAME=PREFIX of the IP numbers of a zone.'),
     ],
 ) -> None:
-    """Stand in for the network between zones; ADDRESS takes the switches."""
+    """Stand in for the network between zones; ADDRESS serves its controls."""
     from ..standins.network import NetworkStandIn
 
     zones = dict(item.split('=', 1) for item in zone)
--- a/src/kelproad/standins/engine.py
+++ b/src/kelproad/standins/engine.py
@@ -96,7 +96,7 @@
         body = await http_request.read()
         await asyncio.sleep(self._faults.delay_dispatch)
         fields = msgspec.json.decode(body, type=RawFields)
-        refused = self._check(attempt_id, fields)
+        refused = self._check_request(attempt_id, fields)
         if refused is not None:
             return refused
         stream = Stream.from_request(
@@ -119,7 +119,7 @@
         text = msgspec.json.decode(fields['continue_from'], type=str)
         return len(text.encode()) if stream.continue_from(text) else 0
 
-    def _check(
+    def _check_request(
         self,
         attempt_id: str,
         fields: RawFields,
--- a/src/kelproad/standins/faults.py
+++ b/src/kelproad/standins/faults.py
@@ -137,8 +137,8 @@
         event = encode_event(self._attempt_id, number, payload)
         position = number + 1
         if faults.crossed and position % faults.crossed == 0:
-            other = encode_event('stranger', number, payload)
-            await self._response.write(other)
+            stranger = encode_event('stranger', number, payload)
+            await self._response.write(stranger)
         if faults.skipped and position % faults.skipped == 0:
             return
         await self._response.write(event)
