--- a/src/kelproad/cli/serve.py
+++ b/src/kelproad/cli/serve.py
@@ -37,6 +37,7 @@
         raise typer.Exit(_EXIT_INVALID)
     else:
         left = _serve_standalone(settings)
+    # ``left`` counts the calls that the stop interrupted.
     _end_process(1 if left else 0)
 
 
