--- a/testbed/binary.py
+++ b/testbed/binary.py
@@ -1,8 +1,8 @@
-"""Check of the shipped binary: one file, one process, no disk but memory.
+"""Check of the shipped binary: one file, one process, no files on disk.
 
 The binary serves as an entry instance of a site whose other processes run from
-the source tree.  While it answers, its children are counted, and the files that
-it has open for writing are listed.
+the source tree.  While it serves, the check counts its child processes and
+lists its open files outside the memory-backed folder.
 """
 
 import os
@@ -24,10 +24,14 @@
 
 @attrs.frozen
 class Footprint:
-    """What a running process takes.
+    """Resources that a running process uses.
 
     Attributes
     ----------
+    children
+        Number of child processes.
+    written
+        Open files outside memory-backed storage.
     resident
         Resident memory in KiB.
     """
@@ -46,25 +50,25 @@
         start_site(plan, pathlib.Path(directory)) as site,
     ):
         instance = site.instances[0]
-        _serve_by_binary(site, instance, binary, directory)
-        seen = call_control(instance.operator, 'GET', '/operator/status')
+        _replace_by_binary(site, instance, binary, directory)
+        status = call_control(instance.operator, 'GET', '/operator/status')
         footprint = read_footprint(instance.process.pid, directory)
     print(
-        f'revision {seen["revision"]} in force, '
+        f'revision {status["revision"]} in force, '
         f'{footprint.resident / _KIBIBYTE:.1f} MiB resident, '
         f'{footprint.children} children, '
         f'io_uring: {footprint.uses_io_uring}, '
         f'open for writing outside memory: {footprint.written}',
     )
-    broken = footprint.children or footprint.written or footprint.uses_io_uring
-    return 1 if broken else 0
+    failed = footprint.children or footprint.written or footprint.uses_io_uring
+    return 1 if failed else 0
 
 
-def read_footprint(pid: int, memory: str) -> Footprint:
-    """Read what a process takes from the system's accounts.
+def read_footprint(pid: int, memory_directory: str) -> Footprint:
+    """Read the resources of a process from ``/proc``.
 
-    Files in the folder ``memory`` stand for those that an instance keeps in
-    memory-backed storage.
+    The folder ``memory_directory`` stands in for the memory-backed storage of
+    an instance; open files in it are not listed.
     """
     process = pathlib.Path('/proc') / str(pid)
     status = (process / 'status').read_text()
@@ -81,20 +85,20 @@
             target
             for target in targets
             if target.startswith('/')
-            and not target.startswith((memory, '/dev/', '/proc/'))
+            and not target.startswith((memory_directory, '/dev/', '/proc/'))
         ],
         resident=int(resident),
         uses_io_uring=any('io_uring' in target for target in targets),
     )
 
 
-def _serve_by_binary(
+def _replace_by_binary(
     site: Site,
     instance: InstanceProcess,
     binary: str,
     directory: str,
 ) -> None:
-    """Put the binary in the place of an instance run from the source."""
+    """Replace an instance that runs from the source tree by the binary."""
     instance.process.stop()
     instance.process = Process(
         f'{instance.name}-binary',
--- a/testbed/calls.py
+++ b/testbed/calls.py
@@ -1,19 +1,20 @@
-"""Calls to operator sides and to the switches of stand-ins."""
+"""Calls to operator APIs and to the control APIs of stand-ins."""
 
 import json
 from urllib import error, request
 
 __all__ = ['OPERATOR_TOKEN', 'CallError', 'call_control']
 
-OPERATOR_TOKEN = 'operator-token-of-the-test-site'  # noqa: S105  a test's
+OPERATOR_TOKEN = 'operator-token-of-the-test-site'  # noqa: S105  test only
+#: Seconds.
 _TIMEOUT = 20
 
 
 class CallError(Exception):
-    """A call was answered with an error status."""
+    """A response with an error status."""
 
     def __init__(self, status: int, body: str) -> None:
-        """Keep the status and the answer's text."""
+        """Store the status and the text of the response body."""
         super().__init__(f'{status}: {body}')
         self.status = status
         self.body = body
@@ -25,12 +26,12 @@
     path: str,
     body: object = None,
 ) -> dict[str, object]:
-    """Make a call and decode its answer.
+    """Make a call with the operator token and decode the JSON response.
 
     Raises
     ------
     CallError
-        When the answer has an error status.
+        If the response has an error status.
     """
     call = request.Request(
         f'http://{address}{path}',
--- a/testbed/members.py
+++ b/testbed/members.py
@@ -1,8 +1,9 @@
-"""Memberships on a simulated clock and a lossy network, all from one seed.
+"""Simulation of membership with a virtual clock and a lossy network.
 
-Only membership is real here: its records, messages and decisions.  Time
-passes as the test says, and every message may be lost, doubled or late, so
-that a run of a minute takes seconds and repeats exactly.
+Membership itself is the real code: records, messages and decisions.  The test
+advances the clock, and the network may lose, duplicate or delay any message.
+All random choices come from one seed, so that a run of a minute takes seconds
+and is reproducible.
 """
 
 import heapq
@@ -34,15 +35,15 @@
 
 @attrs.frozen
 class Conditions:
-    """What the network does to messages.
+    """Faults that the network applies to messages.
 
     Attributes
     ----------
     loss, doubling
-        Share of messages lost, and of those that arrive twice.
+        Share of messages lost, and share that arrives twice.
     delay, jitter
-        Least seconds on the way, and the most that come on top.  Jitter
-        reorders messages.
+        Minimum latency, and the maximum random addition to it, in seconds.
+        Jitter reorders messages.
     """
 
     loss: float = 0
@@ -52,24 +53,24 @@
 
 
 class _SilentPlatform(PlatformClient):
-    """A platform whose list of instances is empty."""
+    """Platform client whose list of instances is empty."""
 
     def __init__(self) -> None:
-        """Hold nothing."""
+        """Create the client without any connection."""
 
     async def list_instances(self, timeout: float) -> Result[Listing, object]:
-        """Return the empty list."""
+        """Return an empty list without a call."""
         return Success(Listing([]))
 
 
 class _OfflineMembership(Membership):
-    """Membership whose messages go into the simulated network."""
+    """Membership that sends over the simulated network."""
 
     site: 'MemberSite'
     address: str
 
     def send(self, address: str, message: PeerMessage) -> int:
-        """Hand an encoded message to the network."""
+        """Encode a message and transmit it; return its bytes."""
         encoded = encode_message(message, self._key)
         self.site.carry(self.address, address, encoded)
         return len(encoded)
@@ -77,14 +78,16 @@
 
 @attrs.define(eq=False)
 class SimulatedMember:
-    """One instance: its membership and what the test does to it.
+    """One simulated instance: its membership and its faults.
 
     Attributes
     ----------
     muted
-        Everything it sends is lost.
+        All messages that it sends are lost.
     silent
-        It sends nothing by itself, only answers.
+        It sends no announcements, only replies.
+    inbox
+        Messages that arrived while it was frozen.
     """
 
     name: str
@@ -102,7 +105,7 @@
 
 @attrs.define
 class MemberSite:
-    """Members in zones, a clock, and the network between them."""
+    """Simulated members in zones, their clock and their network."""
 
     generator: random.Random
     conditions: Conditions
@@ -122,7 +125,7 @@
         zones: int = 3,
         conditions: Conditions | None = None,
     ) -> Self:
-        """Start a number of members, spread over zones."""
+        """Start ``size`` members, spread evenly over the zones."""
         site = cls(random.Random(seed), conditions or Conditions())
         for number in range(size):
             zone = f'zone-{number % zones}'
@@ -136,28 +139,28 @@
         address: str,
         incarnation: int = _FIRST_INCARNATION,
     ) -> SimulatedMember:
-        """Start a member, or another life of one."""
+        """Start a member, or a new incarnation of one."""
         table = MemberTable(zone)
         membership = self._create(name, zone, address, incarnation, table)
         membership.site = self
         membership.address = address
         member = SimulatedMember(name, zone, address, table, membership)
         self.members[address] = member
-        first = self.now + self.generator.random() * PERIOD
-        self._add(first, address, None)
+        first_announcement = self.now + self.generator.random() * PERIOD
+        self._add(first_announcement, address, None)
         return member
 
     async def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and process the events due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            at, _, address, message = heapq.heappop(self._events)
-            self.now = at
-            await self._happen(self.members[address], message)
+            due_at, _, address, message = heapq.heappop(self._events)
+            self.now = due_at
+            await self._process(self.members[address], message)
         self.now = until
 
     def carry(self, origin: str, address: str, message: bytes) -> None:
-        """Take a message on its way, if it is not lost."""
+        """Schedule the delivery of a message, unless it is lost."""
         sender = self.members[origin]
         sender.sent_bytes += len(message)
         sender.sent_messages += 1
@@ -169,33 +172,33 @@
         for _ in range(copies):
             if self.generator.random() < conditions.loss:
                 continue
-            late = conditions.delay
-            late += self.generator.random() * conditions.jitter
-            self._add(self.now + late, address, message)
+            latency = conditions.delay
+            latency += self.generator.random() * conditions.jitter
+            self._add(self.now + latency, address, message)
 
     async def wake(self, member: SimulatedMember) -> None:
-        """Let a frozen member run on; what waited for it arrives at once."""
+        """Resume a frozen member; it receives its inbox at once."""
         member.running = True
         self._add(self.now, member.address, None)
-        waiting = member.inbox
+        pending = member.inbox
         member.inbox = []
-        for message in waiting:
+        for message in pending:
             await member.membership.receive(message)
 
     def see(self, member: SimulatedMember) -> set[str]:
-        """Name the others that a member counts as live."""
+        """Return the names of the others that a member considers live."""
         return {other.name for other in member.members.live(self.now)}
 
     def running(self) -> list[SimulatedMember]:
-        """List the members that run."""
+        """List the members that are not frozen or killed."""
         return [item for item in self.members.values() if item.running]
 
     def running_names(self) -> set[str]:
-        """Name the members that run."""
+        """Return the names of the running members."""
         return {member.name for member in self.running()}
 
     def count_suspected(self, member: SimulatedMember) -> int:
-        """Count the running members that suspect one."""
+        """Count the running members that suspect ``member``."""
         return sum(
             member.name
             in {item.name for item in other.members.suspected(self.now)}
@@ -203,7 +206,7 @@
         )
 
     def count_missing(self) -> int:
-        """Count pairs of running members of which one misses the other."""
+        """Count pairs of running members, the first lacking the second."""
         names = self.running_names()
         return sum(
             len(names - {member.name} - self.see(member))
@@ -211,11 +214,11 @@
         )
 
     def count_ghosts(self) -> int:
-        """Count pairs of a running member and a dead one it counts as live."""
+        """Count pairs of a running member and a dead one it has as live."""
         names = self.running_names()
         return sum(len(self.see(member) - names) for member in self.running())
 
-    async def _happen(
+    async def _process(
         self,
         member: SimulatedMember,
         message: bytes | None,
@@ -230,13 +233,13 @@
                 member.membership.announce()
             self._add(self.now + PERIOD, member.address, None)
 
-    def _add(self, at: float, address: str, message: bytes | None) -> None:
-        event = (at, next(self._order), address, message)
+    def _add(self, due_at: float, address: str, message: bytes | None) -> None:
+        event = (due_at, next(self._order), address, message)
         heapq.heappush(self._events, event)
 
     def _is_cut(self, one: SimulatedMember, other: SimulatedMember) -> bool:
-        crossing = {one.zone, other.zone}
-        return len(crossing) > 1 and bool(crossing & self.cut_zones)
+        zones = {one.zone, other.zone}
+        return len(zones) > 1 and bool(zones & self.cut_zones)
 
     def _create(
         self,
--- a/testbed/network.py
+++ b/testbed/network.py
@@ -1,4 +1,4 @@
-"""The stand-in network of a site: addresses, cuts and their healing."""
+"""Stand-in network of a site: addresses, partitions and delays."""
 
 import pathlib
 
@@ -7,15 +7,15 @@
 
 __all__ = ['PLATFORM', 'SiteNetwork']
 
-#: Name under which the platform counts as a zone of its own.
+#: Name of the pseudo-zone in which the platform is located.
 PLATFORM = 'platform'
 
 
 class SiteNetwork:
-    """Stands between the zones of a site, its endpoints and the platform."""
+    """Proxy between the zones of a site, its endpoints and the platform."""
 
     def __init__(self, zones: list[str], directory: pathlib.Path) -> None:
-        """Start the stand-in network with all zones joined."""
+        """Start the stand-in process with all zones connected."""
         self._zones = zones
         self._control = find_free_address()
         options = [f'--zone={zone}={self._prefix_of(zone)}' for zone in zones]
@@ -27,41 +27,41 @@
         wait_until_answering(f'http://{self._control}/control/network')
 
     def host_of(self, zone: str) -> str:
-        """Return the IP number on which a zone's processes listen."""
+        """Return the IP address on which a zone's processes listen."""
         return f'{self._prefix_of(zone)}1'
 
     def front(self, address: str, zone: str) -> str:
-        """Open a link to an address and return the link's own address."""
-        front = find_free_address()
-        link = {'listen': front, 'target': address, 'zone': zone}
+        """Open a proxy to ``address`` and return the proxy's address."""
+        proxy = find_free_address()
+        link = {'listen': proxy, 'target': address, 'zone': zone}
         call_control(self._control, 'POST', '/control/links', link)
-        return front
+        return proxy
 
     def cut(self, *pairs: tuple[str, str], mode: str = 'hold') -> None:
-        """Cut pairs of zones; ``PLATFORM`` counts as one.
+        """Disconnect pairs of zones; ``PLATFORM`` counts as a zone.
 
         Parameters
         ----------
         pairs
             Names of zones; the order within a pair does not matter.
         mode
-            ``hold`` keeps bytes back until healing, ``break`` breaks the
+            ``hold`` buffers bytes until ``heal``, ``break`` closes the
             connections.
         """
         self._set({'cuts': pairs, 'mode': mode})
 
     def isolate(self, zone: str, mode: str = 'hold') -> None:
-        """Cut a zone from all others and from the platform."""
+        """Disconnect a zone from all others and from the platform."""
         others = [other for other in self._zones if other != zone]
         pairs = [(zone, other) for other in (*others, PLATFORM)]
         self.cut(*pairs, mode=mode)
 
     def delay(self, seconds: float) -> None:
-        """Delay bytes between different zones, in seconds one way."""
+        """Delay bytes between different zones by seconds one way."""
         self._set({'delay': seconds})
 
     def heal(self) -> None:
-        """Make the network whole and fast again."""
+        """Remove all cuts and delays."""
         self._set({})
 
     def _set(self, conditions: dict[str, object]) -> None:
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -1,4 +1,4 @@
-"""Starting, signalling and ending one process of the site."""
+"""Start, signal and stop the processes of a site."""
 
 import fcntl
 import os
@@ -15,24 +15,24 @@
 
 __all__ = ['Process', 'find_free_address', 'wait_until_answering']
 
-_STOP_SECONDS = 30.0
+_STOP_TIMEOUT = 30.0
 _POLL_SECONDS = 0.05
 _LOWEST_PORT = 10_000
 _HIGHEST_PORT = 32_000
 _PORTS = range(_LOWEST_PORT, _HIGHEST_PORT)
-_FROM_SOURCE = (sys.executable, '-m', 'kelproad')
+_SOURCE_COMMAND = (sys.executable, '-m', 'kelproad')
 
 _RESERVATIONS = pathlib.Path(tempfile.gettempdir()) / 'kelproad-ports'
-#: Files whose locks keep the ports that this process was given.
-_held: list[IO[str]] = []
+#: Open files whose locks reserve the ports that this process has chosen.
+_locked_files: list[IO[str]] = []
 
 
 def find_free_address(host: str = '127.0.0.1') -> str:
-    """Find a loopback address that nothing listens on.
+    """Reserve and return a loopback address that nothing listens on.
 
-    The system gives ports above the range drawn from here to outgoing
-    connections.  One of those could take a port between its being found and
-    its being listened on, and the process would fail to start.
+    Ports are chosen below the system's ephemeral range: an outgoing connection
+    could otherwise take the port before the started process listens on it,
+    and the process would fail to start.
     """
     while True:
         port = secrets.choice(_PORTS)
@@ -41,9 +41,10 @@
 
 
 def _reserve(port: int) -> bool:
-    """Keep a port from other processes that start sites on this machine.
+    """Lock a port against other test processes on this machine.
 
-    Between its being found and its being listened on nothing else would.
+    The port is not yet in use while it is chosen but not listened on, so that
+    another process that starts a site could choose it too.
     """
     _RESERVATIONS.mkdir(exist_ok=True)
     reservation = (_RESERVATIONS / str(port)).open('w')
@@ -52,7 +53,7 @@
     except BlockingIOError:
         reservation.close()
         return False
-    _held.append(reservation)
+    _locked_files.append(reservation)
     return True
 
 
@@ -66,28 +67,28 @@
 
 
 def wait_until_answering(url: str, seconds: float = 20.0) -> None:
-    """Wait until a URL answers with success.
+    """Poll a URL until it responds with success.
 
     Raises
     ------
     TimeoutError
-        When it does not within the time.
+        If it does not within the given seconds.
     """
     opener = request.build_opener(request.ProxyHandler({}))
-    limit = time.monotonic() + seconds
-    last: Exception | None = None
-    while time.monotonic() < limit:
+    deadline = time.monotonic() + seconds
+    last_error: Exception | None = None
+    while time.monotonic() < deadline:
         try:
             with opener.open(url, timeout=2):
                 return
         except (OSError, error.HTTPError) as failure:
-            last = failure
+            last_error = failure
         time.sleep(_POLL_SECONDS)
-    raise TimeoutError(f'{url} does not answer: {last}')
+    raise TimeoutError(f'{url} does not answer: {last_error}')
 
 
 class Process:
-    """One process of the command line."""
+    """A child process, by default the project's command line."""
 
     def __init__(
         self,
@@ -97,12 +98,12 @@
         environment: dict[str, str] | None = None,
         program: list[str] | None = None,
     ) -> None:
-        """Start it; its output goes to a file in the directory."""
+        """Start the process; its output goes to ``NAME.log``."""
         self.name = name
         self.log = directory / f'{name}.log'
         with self.log.open('ab') as output:
             self._process = subprocess.Popen(
-                [*(program or _FROM_SOURCE), *arguments],
+                [*(program or _SOURCE_COMMAND), *arguments],
                 stdout=output,
                 stderr=output,
                 stdin=subprocess.DEVNULL,
@@ -111,47 +112,47 @@
 
     @property
     def pid(self) -> int:
-        """Process id."""
+        """Process ID."""
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited."""
         return self._process.poll() is None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to it."""
+        """Send a signal, without waiting for its effect."""
         self._process.send_signal(number)
 
     def freeze(self) -> None:
-        """Stop it from running, as a long pause does."""
+        """Suspend the process (SIGSTOP), as a long pause would."""
         self.send_signal(signal.SIGSTOP)
 
     def wake(self) -> None:
-        """Let a frozen process run on."""
+        """Resume a frozen process (SIGCONT)."""
         self.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End it without any warning."""
+        """Send SIGKILL and wait for the exit."""
         self._process.kill()
         self._process.wait()
 
     def wait(self, seconds: float) -> int:
-        """Wait for its end and return the exit code."""
+        """Wait for the exit and return the exit code."""
         return self._process.wait(seconds)
 
     def ask_to_stop(self) -> None:
-        """Begin its ordinary end, and do not wait for it."""
+        """Resume the process, send SIGTERM and do not wait."""
         if self.running:
             self.wake()
             self._process.terminate()
 
     def stop(self) -> None:
-        """End it in the ordinary way, by force if that takes too long."""
+        """Terminate the process; kill it if that takes too long."""
         if not self.running:
             return
         self.ask_to_stop()
         try:
-            self._process.wait(_STOP_SECONDS)
+            self._process.wait(_STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
             self.kill()
--- a/testbed/routed.py
+++ b/testbed/routed.py
@@ -1,7 +1,7 @@
 """A small site of the routed interface: store, endpoints and instances.
 
-Every part is a process of its own, as at a real site.  Instances stand on
-addresses of their own in 127.0.0.0/8, since the port of the metrics is fixed.
+Every component is a separate process, as at a real site.  Each instance has
+its own address in 127.0.0.0/8, since the metrics port is fixed.
 """
 
 import contextlib
@@ -40,15 +40,15 @@
     'bounds.retry_budget_ratio=0.2',
     'bounds.retry_slack=104',
 )
-_WAIT_SECONDS = 15.0
-_LOOK_PERIOD = 0.02
-_LOWEST_BYTE = 20
-_BYTES = 200
+_WAIT_TIMEOUT = 15.0
+_POLL_PERIOD = 0.02
+_MIN_BYTE = 20
+_BYTE_COUNT = 200
 
 
 @attrs.define
 class RoutedInstance:
-    """One instance and how to reach it."""
+    """An instance, its addresses and its process."""
 
     name: str
     caller: str
@@ -59,25 +59,25 @@
 
     @property
     def log_lines(self) -> list[dict[str, object]]:
-        """What it has logged."""
+        """JSON lines of its log so far."""
         lines = self.process.log.read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith('{')]
 
     def dump(self) -> dict[str, object]:
-        """Read the state of the process."""
+        """Read the ``/dump`` of the instance."""
         return call_control(self.metrics, 'GET', '/dump')
 
 
 @attrs.define
 class RoutedSite:
-    """The processes of a site, and what operators and endpoints would do."""
+    """The processes of a site, and the actions of operators and endpoints."""
 
     directory: pathlib.Path
     store: str
     store_process: Process
     endpoints: dict[str, str] = attrs.field(factory=dict)
-    #: Addresses under which endpoints list themselves, where a proxy stands
-    #: before them.
+    #: Addresses that endpoints advertise in the store, by name, where these
+    #: differ from their own because of a proxy.
     listed_at: dict[str, str] = attrs.field(factory=dict)
     endpoint_processes: dict[str, Process] = attrs.field(factory=dict)
     instances: list[RoutedInstance] = attrs.field(factory=list)
@@ -91,9 +91,10 @@
         keys: tuple[str, ...] = (KEY,),
         **routes: dict[str, object],
     ) -> int:
-        """Accept a configuration as the operator does; return its version.
+        """Write a configuration as the operator does; return its version.
 
-        Each route is given by name, with what differs from the usual one.
+        Each route is given by name, with the fields that differ from the
+        default ones; ``None`` omits a route.
         """
         self.version += 1
         document = {
@@ -114,7 +115,7 @@
         return self.version
 
     def put_row(self, table: str, key: str, document: object) -> None:
-        """Write a row of the store."""
+        """Insert or replace a row of the store."""
         path = f'/control/rows/{table}/{key}'
         call_control(self.store, 'PUT', path, document)
 
@@ -125,7 +126,7 @@
         state: str = 'ready',
         zone: str = 'zone-a',
     ) -> None:
-        """Write the row of an endpoint, as it does itself."""
+        """Write the store row of an endpoint, as the endpoint would."""
         self.put_row(
             'servers',
             name,
@@ -143,24 +144,24 @@
         )
 
     def drop_endpoint(self, name: str) -> None:
-        """Take the row of an endpoint out."""
+        """Delete the store row of an endpoint."""
         call_control(self.store, 'DELETE', f'/control/rows/servers/{name}')
 
     def break_store(self, **faults: object) -> None:
-        """Bring an outage of the store about, or end it."""
+        """Set the faults of the store; none ends them."""
         call_control(self.store, 'PUT', '/control/faults', faults)
 
     def break_endpoint(self, name: str, **faults: object) -> None:
-        """Have an endpoint fail, or end that."""
+        """Set the faults of an endpoint; none ends them."""
         address = self.endpoints[name]
         call_control(address, 'PUT', '/control/faults', faults)
 
     def show_endpoint(self, name: str) -> dict[str, object]:
-        """Return what an endpoint ran and holds."""
+        """Return the runs and reservations of an endpoint."""
         return call_control(self.endpoints[name], 'GET', '/control/runs')
 
     def count_runs(self, request_id: str) -> int:
-        """Count how often a request was run, at all endpoints."""
+        """Count the runs of a request over all endpoints."""
         return sum(
             run.get('X-Kelproad-Request-Id') == request_id
             for name in self.endpoints
@@ -168,13 +169,13 @@
         )
 
     def start_endpoint(self, name: str, service: str) -> None:
-        """Start an endpoint and list it."""
+        """Start an endpoint and write its store row."""
         self.endpoints[name] = find_free_address()
         self.restart_endpoint(name)
         self.list_endpoint(name, service)
 
     def restart_endpoint(self, name: str) -> None:
-        """Start the process of an endpoint, which knows nothing of before."""
+        """Start the process of an endpoint with empty state."""
         address = self.endpoints[name]
         self.endpoint_processes[name] = Process(
             name,
@@ -191,10 +192,9 @@
     ) -> None:
         """Start an instance and wait until it is ready.
 
-        It reaches the store at another address than the store's own where a
-        proxy stands between them.
+        ``store`` is the address of a proxy to the store, if there is one.
         """
-        host = '.'.join(('127', *(str(_draw_byte()) for _ in range(3))))
+        host = '.'.join(('127', *(str(_choose_byte()) for _ in range(3))))
         caller = find_free_address(host)
         ready = find_free_address(host)
         settings = self.directory / f'{name}.settings'
@@ -224,12 +224,12 @@
         wait_until_answering(f'http://{ready}/-/readyz')
 
     def restart_instance(self, instance: RoutedInstance) -> None:
-        """Start an instance again that has ended."""
+        """Start an instance that has exited again."""
         instance.process = self._start_process(instance.name, instance.settings)
         wait_until_answering(f'http://{instance.ready}/-/readyz')
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for instance in self.instances:
             instance.process.kill()
         for process in self.endpoint_processes.values():
@@ -244,7 +244,7 @@
         )
 
 
-#: Routes that every configuration has, with what differs from the usual one.
+#: Routes of every configuration, with the fields that differ from the defaults.
 _ROUTES: types.MappingProxyType[str, dict[str, object]] = (
     types.MappingProxyType(
         {
@@ -299,7 +299,7 @@
     directory: pathlib.Path,
     instances: int = 1,
 ) -> Iterator[RoutedSite]:
-    """Run a site with three engines and two plain endpoints."""
+    """Run a site with three engines and two plain endpoints in a block."""
     store = find_free_address()
     process = Process(
         'store',
@@ -321,21 +321,21 @@
         site.stop()
 
 
-def _draw_byte() -> int:
-    """Draw one byte of an address, away from the usual loopback one."""
-    return _LOWEST_BYTE + secrets.randbelow(_BYTES)
+def _choose_byte() -> int:
+    """Choose one byte of an address, other than those of 127.0.0.1."""
+    return _MIN_BYTE + secrets.randbelow(_BYTE_COUNT)
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    """Wait until a condition holds.
+    """Poll until a condition holds.
 
     Raises
     ------
     TimeoutError
-        When it doesn't within some seconds.
+        If it doesn't within ``_WAIT_TIMEOUT``.
     """
-    limit = time.monotonic() + _WAIT_SECONDS
+    deadline = time.monotonic() + _WAIT_TIMEOUT
     while not condition():
-        if time.monotonic() > limit:
+        if time.monotonic() > deadline:
             raise TimeoutError(what)
-        time.sleep(_LOOK_PERIOD)
+        time.sleep(_POLL_PERIOD)
--- a/testbed/site.py
+++ b/testbed/site.py
@@ -1,4 +1,4 @@
-"""A site on loopback: platform, endpoints and instances of three zones."""
+"""A site on loopback: platform, endpoints and instances of its zones."""
 
 import collections
 import contextlib
@@ -24,35 +24,37 @@
 
 PEER_KEY = 'a-shared-key-of-the-test-site'
 _LOOPBACK = '127.0.0.1'
-#: Seconds within which all instances must have adopted what was applied.
+#: Seconds within which all instances must adopt an applied configuration.
 _ADOPT_SECONDS = 20.0
 _ADOPT_POLL = 0.05
 
 
 @attrs.frozen
 class SitePlan:
-    """What to start.
+    """Example, sizes and settings of a site to start.
 
     Attributes
     ----------
     example
-        Folder with the operators' files; their addresses are replaced by
-        free loopback ones.
+        Folder with the operators' files; the addresses in them are replaced
+        by free loopback ones.
     instances_per_zone
         Entry instances in each zone.
     endpoints_per_group
-        How many endpoints of each group to keep; ``None`` for all.
+        Maximum number of endpoints of each group; ``None`` for all.
     engine_settings
         Settings of every stand-in engine.
     instance_settings
-        Settings laid over those of every instance.
+        Settings that override those of every instance.
     group_settings
-        Settings laid over those of every group of engines.
+        Settings that override those of every group of engines.
     deployment_settings
-        Settings laid over those of the deployment.
+        Settings that override those of the deployment.
+    lag
+        Passed to the stand-in platform as ``--lag``.
     network
-        Put the stand-in network between zones, endpoints and the platform,
-        so that zones can be cut off.
+        Whether the stand-in network connects zones, endpoints and the
+        platform, so that zones can be isolated.
     """
 
     example: pathlib.Path
@@ -68,7 +70,7 @@
 
 @attrs.define
 class InstanceProcess:
-    """An entry instance and where it listens."""
+    """An entry instance, its addresses and its process."""
 
     name: str
     zone: str
@@ -93,22 +95,22 @@
     files: list[pathlib.Path] = attrs.field(factory=list)
     zones: list[str] = attrs.field(factory=list)
     network: SiteNetwork | None = None
-    #: Newest revision that an apply was answered with.
+    #: Highest revision that an apply has returned.
     accepted: int = 0
     _contents: list[dict[str, object]] = attrs.field(factory=list)
 
     @classmethod
     def from_plan(cls, plan: SitePlan, directory: pathlib.Path) -> Self:
-        """Plan a site whose files go into a directory."""
+        """Create a site, not yet started, whose files go into a directory."""
         return cls(directory, find_free_address(), plan)
 
     @property
     def callers(self) -> list[str]:
-        """Addresses on which the instances take callers."""
+        """Caller addresses of the instances."""
         return [instance.caller for instance in self.instances]
 
     def start(self) -> None:
-        """Start everything and apply the operators' files."""
+        """Start all processes and apply the operators' files."""
         self.platform = Process(
             'platform',
             [
@@ -142,7 +144,7 @@
         self.wait_adopted()
 
     def add_instance(self, name: str, zone: str) -> InstanceProcess:
-        """Start an entry instance and enter it into the platform's list."""
+        """Start an entry instance and register it with the platform."""
         host = self._host_of(zone)
         instance = InstanceProcess(
             name,
@@ -152,7 +154,7 @@
             find_free_address(host),
             self.directory / f'{name}.yaml',
         )
-        advertised = self._front(instance.peer, zone)
+        advertised = self._open_proxy(instance.peer, zone)
         settings = {
             'instance': name,
             'zone': zone,
@@ -160,7 +162,9 @@
             'operator_address': instance.operator,
             'peer_address': instance.peer,
             'peer_advertised': advertised,
-            'platform_address': self._front(self.platform_address, PLATFORM),
+            'platform_address': self._open_proxy(
+                self.platform_address, PLATFORM
+            ),
             'peer_key': PEER_KEY,
             'operator_digests': {'ops': _digest(OPERATOR_TOKEN)},
             'assert_invariants': True,
@@ -180,7 +184,7 @@
         return instance
 
     def start_instance(self, instance: InstanceProcess) -> None:
-        """Start an instance, or start it again after it ended."""
+        """Start an instance, also again after it has exited."""
         instance.process = Process(
             instance.name,
             ['serve', '--settings', str(instance.settings)],
@@ -188,7 +192,7 @@
         )
 
     def start_endpoint(self, name: str, group: dict[str, object]) -> None:
-        """Start an endpoint, or start it again after it ended."""
+        """Start an endpoint, also again after it has exited."""
         address = self.addresses[name]
         arguments = ['stand-in', 'service', '--address', address]
         if group['kind'] == 'engine':
@@ -204,57 +208,59 @@
         self.endpoints[name] = Process(name, arguments, self.directory)
 
     def start_endpoint_again(self, name: str) -> None:
-        """Start an endpoint that was ended, as it was declared."""
+        """Start an exited endpoint as declared, without waiting for it."""
         for content in self._contents:
             for group in content.get('endpoint_groups', []):
                 if any(item['name'] == name for item in group['endpoints']):
                     self.start_endpoint(name, group)
 
     def apply(self, path: pathlib.Path, through: int = 0) -> dict[str, object]:
-        """Apply an operators' file through one of the instances."""
+        """Apply an operators' file at the instance of index ``through``."""
         text = path.read_text()
         name = yaml.safe_load(text)['name']
         operator = self.instances[through].operator
         files = self.control(operator, 'GET', '/operator/files')['files']
-        held = {item['name']: item['generation'] for item in files}
-        answered = self.control(
+        generations = {item['name']: item['generation'] for item in files}
+        answer = self.control(
             operator,
             'POST',
             '/operator/apply',
             {
                 'text': text,
                 'source': path.name,
-                'base_generation': held.get(name, 0),
-                'apply_id': f'{name}-{held.get(name, 0)}',
+                'base_generation': generations.get(name, 0),
+                'apply_id': f'{name}-{generations.get(name, 0)}',
             },
         )
-        self.accepted = max(self.accepted, answered['revision'])
-        return answered
+        self.accepted = max(self.accepted, answer['revision'])
+        return answer
 
     def wait_ready(self) -> None:
-        """Wait until every instance has a configuration."""
+        """Wait until every instance has some configuration."""
         for instance in self.instances:
             wait_until_answering(f'http://{instance.caller}/readyz')
 
     def wait_adopted(self) -> None:
         """Wait until every instance has the newest accepted configuration.
 
-        An instance is ready with any of them; beside load each may lack the
-        last file for a while, also the one that accepted it.
+        An instance is ready with any configuration; under load each may lack
+        the last file for a while, even the one that accepted it.
 
         Raises
         ------
         TimeoutError
-            When one lags for too long.
+            If an instance has not adopted it in ``_ADOPT_SECONDS``.
         """
         newest = self.accepted
-        limit = time.monotonic() + _ADOPT_SECONDS
+        deadline = time.monotonic() + _ADOPT_SECONDS
         while any(
             self._read_revision(instance) < newest
             for instance in self.instances
         ):
-            if time.monotonic() > limit:
-                raise TimeoutError(f'not all instances adopted {newest}')
+            if time.monotonic() > deadline:
+                raise TimeoutError(
+                    f'not all instances adopted revision {newest}'
+                )
             time.sleep(_ADOPT_POLL)
 
     def control(
@@ -264,15 +270,15 @@
         path: str,
         body: object = None,
     ) -> dict[str, object]:
-        """Call an operator side, or the switches of a stand-in."""
+        """Call an operator API, or the control API of a stand-in."""
         return call_control(address, method, path, body)
 
     def set_faults(self, address: str, **faults: object) -> None:
-        """Set the faults of a stand-in; those not named are off."""
+        """Set the faults of a stand-in and clear those not given."""
         self.control(address, 'PUT', '/control/faults', faults)
 
     def restart_endpoint(self, name: str) -> None:
-        """Start an endpoint again that has ended."""
+        """Start an exited endpoint and wait until it responds."""
         groups = [
             group
             for content in self._contents
@@ -284,7 +290,7 @@
         wait_until_answering(f'http://{self.addresses[name]}/v1/load')
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Stop every process that was started."""
         processes = [
             *(instance.process for instance in self.instances),
             *self.endpoints.values(),
@@ -292,7 +298,7 @@
             self.network.process if self.network else None,
         ]
         started = [process for process in processes if process is not None]
-        # Instances first, so that they can still reach what they release.
+        # Instances first, so that endpoints still accept their releases.
         for instance in self.instances:
             if instance.process is not None:
                 instance.process.ask_to_stop()
@@ -302,19 +308,19 @@
     # Files
 
     def _read_revision(self, instance: InstanceProcess) -> int:
-        seen = self.control(instance.operator, 'GET', '/operator/status')
-        return seen['revision']
+        status = self.control(instance.operator, 'GET', '/operator/status')
+        return status['revision']
 
     def _write_files(self, contents: list[dict[str, object]]) -> None:
         for number, content in enumerate(contents):
-            self._settle_content(content)
+            self._localize_content(content)
             target = self.directory / f'{number}-{content["name"]}.yaml'
             target.write_text(yaml.safe_dump(content, sort_keys=False))
             self.files.append(target)
         settings = self.directory / 'engine.yaml'
         settings.write_text(yaml.safe_dump(self.plan.engine_settings))
 
-    def _settle_content(self, content: dict[str, object]) -> None:
+    def _localize_content(self, content: dict[str, object]) -> None:
         content.get('deployment', {}).update(self.plan.deployment_settings)
         for group in content.get('endpoint_groups', []):
             limit = self.plan.endpoints_per_group
@@ -325,7 +331,7 @@
                 zone = endpoint['zone']
                 address = find_free_address(self._host_of(zone))
                 self.addresses[endpoint['name']] = address
-                endpoint['address'] = self._front(address, zone)
+                endpoint['address'] = self._open_proxy(address, zone)
 
     def _start_endpoints(self, contents: list[dict[str, object]]) -> None:
         self._contents = contents
@@ -340,7 +346,7 @@
     def _host_of(self, zone: str) -> str:
         return self.network.host_of(zone) if self.network else _LOOPBACK
 
-    def _front(self, address: str, zone: str) -> str:
+    def _open_proxy(self, address: str, zone: str) -> str:
         return self.network.front(address, zone) if self.network else address
 
     def _is_plain(self, name: str) -> bool:
@@ -367,7 +373,7 @@
 
 @contextlib.contextmanager
 def start_site(plan: SitePlan, directory: pathlib.Path) -> Iterator[Site]:
-    """Run a site for the length of a ``with`` block."""
+    """Run a site during a ``with`` block."""
     site = Site.from_plan(plan, directory)
     try:
         site.start()
