--- a/testbed/binary.py
+++ b/testbed/binary.py
@@ -60,8 +60,8 @@
         f'io_uring: {footprint.uses_io_uring}, '
         f'open for writing outside memory: {footprint.written}',
     )
-    failed = footprint.children or footprint.written or footprint.uses_io_uring
-    return 1 if failed else 0
+    broken = footprint.children or footprint.written or footprint.uses_io_uring
+    return 1 if broken else 0
 
 
 def read_footprint(pid: int, memory_directory: str) -> Footprint:
--- a/testbed/members.py
+++ b/testbed/members.py
@@ -154,8 +154,8 @@
         """Advance the clock and process the events due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            due_at, _, address, message = heapq.heappop(self._events)
-            self.now = due_at
+            at, _, address, message = heapq.heappop(self._events)
+            self.now = at
             await self._process(self.members[address], message)
         self.now = until
 
@@ -172,9 +172,9 @@
         for _ in range(copies):
             if self.generator.random() < conditions.loss:
                 continue
-            latency = conditions.delay
-            latency += self.generator.random() * conditions.jitter
-            self._add(self.now + latency, address, message)
+            late = conditions.delay
+            late += self.generator.random() * conditions.jitter
+            self._add(self.now + late, address, message)
 
     async def wake(self, member: SimulatedMember) -> None:
         """Resume a frozen member; it receives its inbox at once."""
@@ -233,8 +233,8 @@
                 member.membership.announce()
             self._add(self.now + PERIOD, member.address, None)
 
-    def _add(self, due_at: float, address: str, message: bytes | None) -> None:
-        event = (due_at, next(self._order), address, message)
+    def _add(self, at: float, address: str, message: bytes | None) -> None:
+        event = (at, next(self._order), address, message)
         heapq.heappush(self._events, event)
 
     def _is_cut(self, one: SimulatedMember, other: SimulatedMember) -> bool:
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -75,9 +75,9 @@
         If it does not within the given seconds.
     """
     opener = request.build_opener(request.ProxyHandler({}))
-    deadline = time.monotonic() + seconds
+    limit = time.monotonic() + seconds
     last_error: Exception | None = None
-    while time.monotonic() < deadline:
+    while time.monotonic() < limit:
         try:
             with opener.open(url, timeout=2):
                 return
--- a/testbed/routed.py
+++ b/testbed/routed.py
@@ -334,8 +334,8 @@
     TimeoutError
         If it doesn't within ``_WAIT_TIMEOUT``.
     """
-    deadline = time.monotonic() + _WAIT_TIMEOUT
+    limit = time.monotonic() + _WAIT_TIMEOUT
     while not condition():
-        if time.monotonic() > deadline:
+        if time.monotonic() > limit:
             raise TimeoutError(what)
         time.sleep(_POLL_PERIOD)
--- a/testbed/site.py
+++ b/testbed/site.py
@@ -220,20 +220,20 @@
         name = yaml.safe_load(text)['name']
         operator = self.instances[through].operator
         files = self.control(operator, 'GET', '/operator/files')['files']
-        generations = {item['name']: item['generation'] for item in files}
-        answer = self.control(
+        held = {item['name']: item['generation'] for item in files}
+        answered = self.control(
             operator,
             'POST',
             '/operator/apply',
             {
                 'text': text,
                 'source': path.name,
-                'base_generation': generations.get(name, 0),
-                'apply_id': f'{name}-{generations.get(name, 0)}',
+                'base_generation': held.get(name, 0),
+                'apply_id': f'{name}-{held.get(name, 0)}',
             },
         )
-        self.accepted = max(self.accepted, answer['revision'])
-        return answer
+        self.accepted = max(self.accepted, answered['revision'])
+        return answered
 
     def wait_ready(self) -> None:
         """Wait until every instance has some configuration."""
@@ -252,12 +252,12 @@
             If an instance has not adopted it in ``_ADOPT_SECONDS``.
         """
         newest = self.accepted
-        deadline = time.monotonic() + _ADOPT_SECONDS
+        limit = time.monotonic() + _ADOPT_SECONDS
         while any(
             self._read_revision(instance) < newest
             for instance in self.instances
         ):
-            if time.monotonic() > deadline:
+            if time.monotonic() > limit:
                 raise TimeoutError(
                     f'not all instances adopted revision {newest}'
                 )
