--- a/testbed/members.py
+++ b/testbed/members.py
@@ -70,7 +70,7 @@
     address: str
 
     def send(self, address: str, message: PeerMessage) -> int:
-        """Encode a message and transmit it; return its bytes."""
+        """Encode and transmit a message; return its length in bytes."""
         encoded = encode_message(message, self._key)
         self.site.carry(self.address, address, encoded)
         return len(encoded)
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -43,8 +43,8 @@
 def _reserve(port: int) -> bool:
     """Lock a port against other test processes on this machine.
 
-    The port is not yet in use while it is chosen but not listened on, so that
-    another process that starts a site could choose it too.
+    Until the started process listens on the port, another process that starts
+    a site could choose the same one.
     """
     _RESERVATIONS.mkdir(exist_ok=True)
     reservation = (_RESERVATIONS / str(port)).open('w')
