--- a/testbed/soak/accounts.py
+++ b/testbed/soak/accounts.py
@@ -1,4 +1,4 @@
-"""The accounts after a run: what was told against what was done."""
+"""Checks after a run: the answers to callers against the work done."""
 
 import collections
 import time
@@ -10,26 +10,26 @@
 
 __all__ = ['check_accounts']
 
-#: Seconds after which engines hold nothing and all instances agree.
+#: Seconds within which engines release all memory and instances agree.
 SETTLE_SECONDS = 30.0
 _POLL_SECONDS = 0.5
-_MOST_SHOWN = 3000
+_MAX_SHOWN = 3000
 
 
 def check_accounts(
     site: Site,
-    told: list[Told],
+    records: list[Told],
     revision: int,
 ) -> list[str]:
-    """Compare the callers' accounts with those of services and engines.
+    """Compare the callers' records with those of services and engines.
 
     Returns
     -------
     list of str
-        Every promise that was broken, empty when all held.
+        A line for each violated guarantee.
     """
     effects = _count_effects(site)
-    broken = [line for item in told for line in _check_work(item, effects)]
+    broken = [line for item in records for line in _check_record(item, effects)]
     return [
         *broken,
         *_check_logs(site),
@@ -46,7 +46,7 @@
     return effects
 
 
-def _check_work(
+def _check_record(
     item: Told,
     effects: collections.Counter[str],
 ) -> list[str]:
@@ -55,7 +55,7 @@
     if item.wrong:
         broken.append(f'{label}: {item.wrong}')
     if is_late(item):
-        broken.append(f'{label}: a try lasted {item.longest:.1f} s')
+        broken.append(f'{label}: an attempt lasted {item.longest:.1f} s')
     if item.kind == 'completion':
         return broken
     times = effects[item.reference]
@@ -64,18 +64,18 @@
     if Outcome.ANSWERED in item.outcomes and times != 1:
         broken.append(f'{label}: answered, but ran {times} times')
     if times and set(item.outcomes) <= {Outcome.NOT_RUN}:
-        broken.append(f'{label}: told not run, but it ran')
+        broken.append(f'{label}: reported as not run, but it ran')
     return broken
 
 
 def _check_logs(site: Site) -> list[str]:
-    """Find exceptions that nobody expected."""
+    """Find tracebacks in the logs of the instances."""
     broken = []
     for instance in site.instances:
         text = instance.process.log.read_text()
         parts = text.split('Traceback (most recent call last)')[1:]
         broken += [
-            f'{instance.name} raised: {part[:_MOST_SHOWN]}' for part in parts
+            f'{instance.name} raised: {part[:_MAX_SHOWN]}' for part in parts
         ]
     return broken
 
@@ -85,9 +85,9 @@
     for name, address in site.addresses.items():
         if name.startswith('run-book'):
             continue
-        holds = site.control(address, 'GET', '/v1/held')
-        if holds['used_tokens'] or holds['held']:
-            broken.append(f'{name} still holds {holds}')
+        memory = site.control(address, 'GET', '/v1/held')
+        if memory['used_tokens'] or memory['held']:
+            broken.append(f'{name} still holds {memory}')
     return broken
 
 
@@ -98,19 +98,19 @@
         if dump['revision'] != revision:
             broken.append(
                 f'{instance.name} has revision {dump["revision"]}, '
-                f'accepted is {revision}',
+                f'the newest accepted one is {revision}',
             )
         if dump['invariant_violations']:
             violations = dump['invariant_violations']
             broken.append(f'{instance.name} violated {violations}')
         if dump['requests']:
             left = len(dump['requests'])
-            broken.append(f'{instance.name} has {left} requests left')
+            broken.append(f'{instance.name} has {left} unfinished requests')
     return broken
 
 
 def _wait_for(check: Callable[[], list[str]]) -> list[str]:
-    """Repeat a check until nothing is broken or the time is up."""
+    """Repeat a check until it passes or ``SETTLE_SECONDS`` are over."""
     limit = time.monotonic() + SETTLE_SECONDS
     broken = check()
     while broken and time.monotonic() < limit:
--- a/testbed/soak/callers.py
+++ b/testbed/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that remember every answer they were given."""
+"""Callers that record every answer they receive."""
 
 import asyncio
 import enum
@@ -18,16 +18,16 @@
 _MODEL = 'roadgrip-report'
 _TOKENS = 8
 _OK = 200
-_TRIES = 4
-_PAUSE = 1.0
-#: Seconds over its deadline after which an answer counts as late.
+_MAX_ATTEMPTS = 4
+_RETRY_PAUSE = 1.0
+#: Seconds past its deadline from which an answer counts as late.
 MARGIN = 2.0
 _DEADLINE = 8.0
-_MOST_SHOWN = 80
+_MAX_SHOWN = 80
 
 
 class Outcome(enum.StrEnum):
-    """What a caller was told of one try."""
+    """Outcome of one attempt, as its caller observed it."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not run'
@@ -38,14 +38,14 @@
 
 @attrs.define
 class Told:
-    """A piece of work and what its caller was told of each try.
+    """A piece of work and the outcome of each attempt at it.
 
     Attributes
     ----------
     longest
-        Seconds of the longest try.
+        Seconds of the longest attempt.
     wrong
-        What was wrong with an answer that was said to be whole.
+        Defect of an answer that was complete, or of a refusal; empty if none.
     """
 
     reference: str
@@ -56,17 +56,17 @@
 
 
 class Callers:
-    """Sends work to the instances of a site until told to stop."""
+    """Sends work to randomly chosen instances of a site."""
 
     def __init__(self, site: Site, seed: int, rate: float) -> None:
-        """Send ``rate`` pieces of work a second, drawn from a seed."""
+        """Prepare to send ``rate`` pieces of work a second on average."""
         self._site = site
         self._random = random.Random(seed)
         self._rate = rate
         self.told: list[Told] = []
 
     async def run(self, seconds: float) -> None:
-        """Send for a time, then wait for every answer."""
+        """Send for ``seconds``, then wait for every answer."""
         end = time.monotonic() + seconds
         tasks = []
         async with create_session() as session:
@@ -78,67 +78,69 @@
     async def _work(self, session: aiohttp.ClientSession) -> None:
         kinds = ('completion', 'keyed booking', 'booking')
         kind = self._random.choices(kinds, (3, 2, 1))[0]
-        told = Told(f'work-{len(self.told)}', kind)
-        self.told.append(told)
-        tries = _TRIES if kind == 'keyed booking' else 1
-        for _ in range(tries):
-            outcome = await self._try(session, told)
-            told.outcomes.append(outcome)
+        record = Told(f'work-{len(self.told)}', kind)
+        self.told.append(record)
+        attempts = _MAX_ATTEMPTS if kind == 'keyed booking' else 1
+        for _ in range(attempts):
+            outcome = await self._attempt(session, record)
+            record.outcomes.append(outcome)
             if outcome is Outcome.ANSWERED:
                 return
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_RETRY_PAUSE)
 
-    async def _try(
+    async def _attempt(
         self,
         session: aiohttp.ClientSession,
-        told: Told,
+        record: Told,
     ) -> Outcome:
         server = self._random.choice(self._site.callers)
         started = time.monotonic()
         try:
             async with asyncio.timeout(_DEADLINE + 4 * MARGIN):
-                if told.kind == 'completion':
-                    outcome = await self._complete(session, server, told)
+                if record.kind == 'completion':
+                    outcome = await self._request_completion(
+                        session, server, record
+                    )
                 else:
-                    outcome = await self._book(session, server, told)
+                    outcome = await self._book(session, server, record)
         except aiohttp.ClientConnectorError:
             outcome = Outcome.UNREACHABLE
         except (aiohttp.ClientError, OSError):
-            # The instance died, or the caller waited far over the deadline.
+            # The instance died, or the caller waited far beyond the deadline.
             outcome = Outcome.BROKEN
-        told.longest = max(told.longest, time.monotonic() - started)
+        record.longest = max(record.longest, time.monotonic() - started)
         return outcome
 
     async def _book(
         self,
         session: aiohttp.ClientSession,
         server: str,
-        told: Told,
+        record: Told,
     ) -> Outcome:
         headers = _headers()
-        if told.kind == 'keyed booking':
-            headers['Idempotency-Key'] = told.reference
+        if record.kind == 'keyed booking':
+            headers['Idempotency-Key'] = record.reference
         async with session.post(
             f'http://{server}/services/test-runs/entries',
-            json={'reference': told.reference},
+            json={'reference': record.reference},
             headers=headers,
         ) as response:
             body = await response.read()
         if response.status != _OK:
-            return _judge_refusal(told, response.status, body)
+            return _classify_refusal(record, response.status, body)
         fields = json.loads(body)
-        if fields.get('reference') != told.reference:
-            told.wrong = f'the answer of another: {fields}'
+        if fields.get('reference') != record.reference:
+            record.wrong = f'the answer to another booking: {fields}'
         return Outcome.ANSWERED
 
-    async def _complete(
+    async def _request_completion(
         self,
         session: aiohttp.ClientSession,
         server: str,
-        told: Told,
+        record: Told,
     ) -> Outcome:
         stream = self._random.choice((True, False))
-        prompt = told.reference + 'x' * self._random.choice((400, 20_000))
+        prompt = record.reference + 'x' * self._random.choice((400, 20_000))
         async with session.post(
             f'http://{server}/v1/completions',
             json={
@@ -151,12 +153,12 @@
         ) as response:
             body = await response.read()
         if response.status != _OK:
-            return _judge_refusal(told, response.status, body)
+            return _classify_refusal(record, response.status, body)
         if stream and not body.endswith(b'data: [DONE]\n\n'):
             return Outcome.BROKEN
-        pieces = body.decode().count('#')
-        if pieces != _TOKENS:
-            told.wrong = f'{pieces} tokens in place of {_TOKENS}'
+        tokens = body.decode().count('#')
+        if tokens != _TOKENS:
+            record.wrong = f'{tokens} tokens instead of {_TOKENS}'
         return Outcome.ANSWERED
 
 
@@ -167,17 +169,15 @@
     }
 
 
-def _judge_refusal(told: Told, status: int, body: bytes) -> Outcome:
+def _classify_refusal(record: Told, status: int, body: bytes) -> Outcome:
     try:
         ran = json.loads(body)['error']['ran']
     except (ValueError, KeyError, TypeError):
-        told.wrong = (
-            f'a refusal of another shape: {status} {body[:_MOST_SHOWN]!r}'
-        )
+        record.wrong = f'malformed refusal: {status} {body[:_MAX_SHOWN]!r}'
         return Outcome.MAY_HAVE_RUN
     return Outcome.NOT_RUN if ran == 'no' else Outcome.MAY_HAVE_RUN
 
 
-def is_late(told: Told) -> bool:
-    """Tell whether a try lasted longer than its deadline allows."""
-    return told.longest > _DEADLINE + MARGIN
+def is_late(record: Told) -> bool:
+    """Return whether an attempt exceeded its deadline by ``MARGIN``."""
+    return record.longest > _DEADLINE + MARGIN
--- a/testbed/soak/run.py
+++ b/testbed/soak/run.py
@@ -1,4 +1,4 @@
-"""One long run from a seed; exit code 1 when a promise was broken."""
+"""One long run with random faults; exit code 1 on violated guarantees."""
 
 import argparse
 import asyncio
@@ -17,7 +17,7 @@
 
 _EXAMPLE = pathlib.Path(__file__).parents[2] / 'examples' / 'roadgrip'
 _APPLY_PERIOD = 3.0
-_MOST_SHOWN = 120
+_MAX_SHOWN = 120
 _DEFAULT_RATE = 15.0
 
 
@@ -27,7 +27,7 @@
     Returns
     -------
     list of str
-        Every promise that was broken.
+        A line for each violated guarantee.
     """
     callers = Callers(site, seed, rate)
     faults = Faults(site, seed)
@@ -35,7 +35,7 @@
     await asyncio.gather(callers.run(seconds), faults.run(seconds))
     operator.cancel()
     await asyncio.gather(operator, return_exceptions=True)
-    _show(callers.told, faults)
+    _print_summary(callers.told, faults)
     revision = await asyncio.to_thread(_apply_last, site)
     return await asyncio.to_thread(
         check_accounts,
@@ -46,13 +46,13 @@
 
 
 async def _apply_repeatedly(site: Site) -> None:
-    """Apply the same files again and again, as an operator's tool may."""
+    """Apply the last file periodically, as an operator's tool may."""
     while True:
         await asyncio.sleep(_APPLY_PERIOD)
         try:
             await asyncio.to_thread(site.apply, site.files[-1])
         except Exception as error:
-            print(f'apply refused: {str(error)[:_MOST_SHOWN]}')
+            print(f'apply refused: {str(error)[:_MAX_SHOWN]}')
 
 
 def _apply_last(site: Site) -> int:
@@ -60,18 +60,20 @@
     return int(site.apply(site.files[-1])['revision'])
 
 
-def _show(told: list[Told], faults: Faults) -> None:
-    for draw in faults.drawn:
-        print(f'  {draw.name}: {draw.subject}, {draw.seconds:.1f} s')
+def _print_summary(records: list[Told], faults: Faults) -> None:
+    for injected in faults.drawn:
+        print(
+            f'  {injected.name}: {injected.subject}, {injected.seconds:.1f} s'
+        )
     outcomes = collections.Counter(
-        f'{item.kind}: {item.outcomes[-1]}' for item in told
+        f'{item.kind}: {item.outcomes[-1]}' for item in records
     )
     for label, count in sorted(outcomes.items()):
         print(f'{count:6} {label}')
 
 
 def main() -> int:
-    """Read the options and run."""
+    """Run with the options of the command line; return the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--seconds', type=float, default=60)
     parser.add_argument('--seed', type=int, default=1)
@@ -90,7 +92,7 @@
             )
     for line in broken:
         print(f'BROKEN: {line}')
-    print(f'seed {options.seed}: {len(broken)} promises broken')
+    print(f'seed {options.seed}: {len(broken)} guarantees violated')
     return 1 if broken else 0
 
 
