--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -1,4 +1,4 @@
-"""Failures drawn from a seed: each is brought about, lasts, and is mended."""
+"""Fault injection: random faults from a seed, each ended after a while."""
 
 import asyncio
 import random
@@ -10,16 +10,16 @@
 
 __all__ = ['FaultDraw', 'Faults']
 
-_SHORTEST = 1.0
-_LONGEST = 5.0
-_CALM_SECONDS = 1.0
-#: Seconds by which the platform is late while it is slow.
-_SLOWNESS = 1.5
+_MIN_SECONDS = 1.0
+_MAX_SECONDS = 5.0
+_PAUSE_SECONDS = 1.0
+#: Seconds by which the platform delays its answers while it is slow.
+_PLATFORM_DELAY = 1.5
 
 
 @attrs.frozen
 class FaultDraw:
-    """One failure as it was brought about."""
+    """One injected fault: its kind, target and duration."""
 
     name: str
     subject: str
@@ -27,10 +27,10 @@
 
 
 class Faults:
-    """Brings failures about, one or two at a time, until told to stop."""
+    """Injects up to two faults at a time into a site."""
 
     def __init__(self, site: Site, seed: int) -> None:
-        """Draw failures of a site from a seed."""
+        """Choose kinds, targets and durations at random from a seed."""
         self._site = site
         self._random = random.Random(seed)
         self._kinds: dict[str, Callable[[float], Awaitable[str]]] = {
@@ -49,42 +49,44 @@
         self.drawn: list[FaultDraw] = []
 
     async def run(self, seconds: float) -> None:
-        """Bring failures about for a time; all are mended at the end."""
+        """Inject faults for ``seconds``; all have ended on return."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        await asyncio.gather(self._chain(end), self._chain(end))
+        await asyncio.gather(
+            self._inject_repeatedly(end), self._inject_repeatedly(end)
+        )
 
-    async def _chain(self, end: float) -> None:
+    async def _inject_repeatedly(self, end: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             name = self._random.choice(list(self._kinds))
-            lasts = self._random.uniform(_SHORTEST, _LONGEST)
-            subject = await self._kinds[name](lasts)
-            self.drawn.append(FaultDraw(name, subject, lasts))
-            await asyncio.sleep(_CALM_SECONDS)
+            duration = self._random.uniform(_MIN_SECONDS, _MAX_SECONDS)
+            subject = await self._kinds[name](duration)
+            self.drawn.append(FaultDraw(name, subject, duration))
+            await asyncio.sleep(_PAUSE_SECONDS)
 
     # Instances
 
-    async def _kill_instance(self, lasts: float) -> str:
-        instance = self._draw_instance()
+    async def _kill_instance(self, duration: float) -> str:
+        instance = self._choose_instance()
         if instance is None:
             return ''
         instance.process.kill()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         self._site.start_instance(instance)
         return instance.name
 
-    async def _freeze_instance(self, lasts: float) -> str:
-        instance = self._draw_instance()
+    async def _freeze_instance(self, duration: float) -> str:
+        instance = self._choose_instance()
         if instance is None:
             return ''
         instance.process.freeze()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         instance.process.wake()
         return instance.name
 
-    def _draw_instance(self) -> InstanceProcess | None:
-        """Draw an instance that another failure has not ended."""
+    def _choose_instance(self) -> InstanceProcess | None:
+        """Choose an instance; ``None`` while another fault has one killed."""
         running = [
             instance
             for instance in self._site.instances
@@ -96,72 +98,82 @@
 
     # Network and platform
 
-    async def _cut_zone(self, lasts: float) -> str:
+    async def _cut_zone(self, duration: float) -> str:
         zone = self._random.choice(self._site.zones)
         mode = self._random.choice(('hold', 'break'))
         await asyncio.to_thread(self._site.network.isolate, zone, mode)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         await asyncio.to_thread(self._site.network.heal)
         return f'{zone} ({mode})'
 
-    async def _take_platform_down(self, lasts: float) -> str:
-        return await self._fault_platform(lasts, down=True)
+    async def _take_platform_down(self, duration: float) -> str:
+        return await self._apply_platform_faults(duration, down=True)
 
-    async def _slow_platform(self, lasts: float) -> str:
-        return await self._fault_platform(lasts, delay=_SLOWNESS)
+    async def _slow_platform(self, duration: float) -> str:
+        return await self._apply_platform_faults(
+            duration, delay=_PLATFORM_DELAY
+        )
 
-    async def _lose_platform_answers(self, lasts: float) -> str:
-        return await self._fault_platform(lasts, lose_answers=5)
+    async def _lose_platform_answers(self, duration: float) -> str:
+        return await self._apply_platform_faults(duration, lose_answers=5)
 
-    async def _fault_platform(self, lasts: float, **faults: object) -> str:
+    async def _apply_platform_faults(
+        self, duration: float, **faults: object
+    ) -> str:
         address = self._site.platform_address
-        return await self._fault(address, 'platform', lasts, faults)
+        return await self._apply_faults(address, 'platform', duration, faults)
 
     # Endpoints
 
-    async def _restart_engine(self, lasts: float) -> str:
-        name = self._draw_endpoint('report')
+    async def _restart_engine(self, duration: float) -> str:
+        name = self._choose_endpoint('report')
         self._site.endpoints[name].kill()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         self._site.start_endpoint_again(name)
         return name
 
-    async def _freeze_engine(self, lasts: float) -> str:
-        name = self._draw_endpoint('report')
+    async def _freeze_engine(self, duration: float) -> str:
+        name = self._choose_endpoint('report')
         process = self._site.endpoints[name]
         process.freeze()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         process.wake()
         return name
 
-    async def _cut_streams(self, lasts: float) -> str:
+    async def _cut_streams(self, duration: float) -> str:
         clean = self._random.choice((True, False))
-        return await self._fault_engine(lasts, cut_after=3, clean_cut=clean)
+        return await self._apply_engine_faults(
+            duration, cut_after=3, clean_cut=clean
+        )
 
-    async def _mix_events(self, lasts: float) -> str:
-        return await self._fault_engine(lasts, crossed=3, doubled=4)
+    async def _mix_events(self, duration: float) -> str:
+        return await self._apply_engine_faults(duration, crossed=3, doubled=4)
 
-    async def _fault_engine(self, lasts: float, **faults: object) -> str:
-        name = self._draw_endpoint('report')
+    async def _apply_engine_faults(
+        self, duration: float, **faults: object
+    ) -> str:
+        name = self._choose_endpoint('report')
         address = self._site.addresses[name]
-        return await self._fault(address, name, lasts, faults)
+        return await self._apply_faults(address, name, duration, faults)
 
-    async def _lose_service_answers(self, lasts: float) -> str:
-        name = self._draw_endpoint('run-book')
+    async def _lose_service_answers(self, duration: float) -> str:
+        name = self._choose_endpoint('run-book')
         address = self._site.addresses[name]
-        return await self._fault(address, name, lasts, {'lose_answers': 3})
+        return await self._apply_faults(
+            address, name, duration, {'lose_answers': 3}
+        )
 
-    async def _fault(
+    async def _apply_faults(
         self,
         address: str,
         name: str,
-        lasts: float,
+        duration: float,
         faults: dict[str, object],
     ) -> str:
-        """Set a stand-in's faults for a time; it may be down just then."""
+        """Set a stand-in's faults for a time; it may be unreachable."""
         try:
             await asyncio.to_thread(self._set, address, faults)
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             await asyncio.to_thread(self._set, address, {})
         except OSError:
             return f'{name} (unreachable)'
@@ -170,7 +182,7 @@
     def _set(self, address: str, faults: dict[str, object]) -> None:
         self._site.set_faults(address, **faults)
 
-    def _draw_endpoint(self, prefix: str) -> str:
+    def _choose_endpoint(self, prefix: str) -> str:
         names = sorted(
             name for name in self._site.endpoints if name.startswith(prefix)
         )
--- a/testbed/soak/links.py
+++ b/testbed/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections which pass through it."""
+"""A loopback TCP proxy that injects faults into its connections."""
 
 import asyncio
 import contextlib
@@ -10,96 +10,104 @@
 
 
 class Harm(enum.StrEnum):
-    """What happens to connections at present."""
+    """Fault that the proxy applies to its connections."""
 
     NONE = 'none'
-    #: Bytes come later.
+    #: Bytes are forwarded with a delay.
     DELAYED = 'delayed'
-    #: Nothing passes, and nobody is told.
+    #: Bytes are dropped in both directions, without any error.
     SILENT = 'silent'
-    #: What is asked passes, what is answered doesn't.
+    #: Requests are forwarded, responses are dropped.
     ONE_WAY = 'one way'
     #: Open connections and new ones are reset.
     RESET = 'reset'
 
 
 class Link:
-    """One address that stands for another."""
+    """A proxy with an address of its own to a target address."""
 
     def __init__(self, name: str, target: str) -> None:
-        """Stand for an address; nothing listens yet."""
+        """Set the target; ``open`` starts to listen."""
         self.name = name
         self.address = ''
         self._target = target
-        self._harm = Harm.NONE
+        self._fault = Harm.NONE
         self._delay = float(0)
         self._writers: set[asyncio.StreamWriter] = set()
-        self._passing: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
         """Listen on a free port."""
-        self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
+        self._server = await asyncio.start_server(
+            self._handle_connection, '127.0.0.1', 0
+        )
         host, port = self._server.sockets[0].getsockname()
         self.address = f'{host}:{port}'
 
     def close(self) -> None:
-        """Stop listening and break what is open."""
+        """Stop listening and abort the open connections."""
         self._server.close()
-        self._reset_open()
+        self._abort_connections()
 
     def harm(self, harm: Harm, delay: float = 0) -> None:
-        """Harm all connections from now on."""
-        self._harm = harm
+        """Set the fault of all connections, open and new ones."""
+        self._fault = harm
         self._delay = delay
         if harm is Harm.RESET:
-            self._reset_open()
+            self._abort_connections()
 
     def heal(self) -> None:
-        """Let everything pass again; what was silenced stays silent."""
+        """End the fault; connections that lost bytes stay silent."""
         self.harm(Harm.NONE)
 
-    async def _serve(
+    async def _handle_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        if self._harm is Harm.RESET:
+        if self._fault is Harm.RESET:
             writer.transport.abort()
             return
         host, port = self._target.split(':')
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, port)
+            target_reader, target_writer = await asyncio.open_connection(
+                host, port
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        passing = (
-            asyncio.create_task(self._pass(reader, far_writer, asked=True)),
-            asyncio.create_task(self._pass(far_reader, writer, asked=False)),
+        self._writers |= {writer, target_writer}
+        tasks = (
+            asyncio.create_task(
+                self._forward(reader, target_writer, is_request=True)
+            ),
+            asyncio.create_task(
+                self._forward(target_reader, writer, is_request=False)
+            ),
         )
-        self._passing.update(passing)
-        # The loop ends while connections are open; asyncio would log a trace.
+        self._tasks.update(tasks)
+        # The loop ends with connections open; asyncio would log a traceback.
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.wait(passing)
-        self._passing.difference_update(passing)
-        self._writers -= {writer, far_writer}
+            await asyncio.wait(tasks)
+        self._tasks.difference_update(tasks)
+        self._writers -= {writer, target_writer}
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        asked: bool,
+        is_request: bool,
     ) -> None:
-        """Pass bytes on one way until its end."""
-        silenced = False
+        """Forward bytes in one direction until the end of the stream."""
+        is_dropping = False
         try:
             while chunk := await reader.read(_CHUNK):
-                # A connection that lost bytes once can't go on afterwards.
-                silenced = silenced or self._loses(asked)
-                if silenced:
+                # A connection that has lost bytes can't be resumed.
+                is_dropping = is_dropping or self._drops(is_request)
+                if is_dropping:
                     continue
-                if self._harm is Harm.DELAYED:
+                if self._fault is Harm.DELAYED:
                     await asyncio.sleep(self._delay)
                 writer.write(chunk)
                 await writer.drain()
@@ -108,11 +116,11 @@
         finally:
             writer.close()
 
-    def _loses(self, asked: bool) -> bool:
-        if self._harm is Harm.SILENT:
+    def _drops(self, is_request: bool) -> bool:
+        if self._fault is Harm.SILENT:
             return True
-        return self._harm is Harm.ONE_WAY and not asked
+        return self._fault is Harm.ONE_WAY and not is_request
 
-    def _reset_open(self) -> None:
+    def _abort_connections(self) -> None:
         for writer in self._writers:
             writer.transport.abort()
--- a/testbed/soak/routed_faults.py
+++ b/testbed/soak/routed_faults.py
@@ -1,4 +1,4 @@
-"""Failures of a routed site, drawn from a seed: in series and overlapping."""
+"""Fault injection into a routed site: overlapping random faults."""
 
 import asyncio
 import contextlib
@@ -20,22 +20,22 @@
 
 __all__ = ['RoutedFaults', 'Span']
 
-_SHORTEST = 0.5
-_LONGEST = 4.0
-_CALM_SECONDS = 0.5
-_CHAINS = 3
-#: Series of stops at a time where these are the only failures: a second one
-#: takes instances that have just come back.
-_STOP_CHAINS = 2
+_MIN_SECONDS = 0.5
+_MAX_SECONDS = 4.0
+_MAX_PAUSE_SECONDS = 0.5
+_CONCURRENT_FAULTS = 3
+#: Concurrent series of stops if these are the only faults: the second one also
+#: stops instances that have just been restarted.
+_CONCURRENT_SERIES = 2
 _SERIES = 'instances stopped in series'
-#: Seconds between two stops of a series: at once, or as replacing goes on.
+#: Seconds between two stops of a series: at once, or as in a rolling restart.
 _SERIES_PERIODS = (0, 1.0, 1.5, 2.0)
-_DELAY = 0.4
+_MAX_DELAY = 0.4
 
 
 @attrs.frozen
 class Span:
-    """One failure: what, where, from when to when."""
+    """One fault: its kind, its target, and monotonic begin and end."""
 
     name: str
     subject: str
@@ -44,7 +44,7 @@
 
 
 class RoutedFaults:
-    """Brings failures about, several at a time, and mends each."""
+    """Injects several faults at a time and ends each."""
 
     def __init__(
         self,
@@ -54,9 +54,9 @@
         seed: int,
         only_stops: bool = False,
     ) -> None:
-        """Draw failures from a seed; links stand before endpoints and store.
+        """Choose faults from a seed; links lead to endpoints and store.
 
-        With ``only_stops`` nothing but planned stops is brought about.
+        With ``only_stops`` planned stops are the only faults.
         """
         self._site = site
         self._links = links
@@ -70,46 +70,48 @@
             'instance stopped': self._stop,
             'instance reloaded': self._reload,
             'endpoint killed': self._kill_endpoint,
-            'endpoint fails': self._break_endpoint,
-            'store fails': self._break_store,
-            'link harmed': self._harm_link,
+            'endpoint fails': self._disturb_endpoint,
+            'store fails': self._disturb_store,
+            'link harmed': self._disturb_link,
             'keys replaced': self._replace_key,
             'configuration changed': self._change_configuration,
         }
-        self._chains = _CHAINS
+        self._concurrency = _CONCURRENT_FAULTS
         if only_stops:
             self._kinds = {_SERIES: self._stop_series}
-            self._chains = _STOP_CHAINS
+            self._concurrency = _CONCURRENT_SERIES
         self._busy: set[str] = set()
         self.spans: list[Span] = []
-        #: What endpoints had run when they were killed, by name.
+        #: Run records that endpoints lost when they were killed, by name.
         self.forgotten_runs: dict[str, list[dict[str, str]]] = {}
-        #: Times at which a key was given out, and taken away, by key.
+        #: Monotonic times at which a key was issued and revoked, by key.
         self.given_at: dict[str, float] = {}
         self.revoked_at: dict[str, float] = {}
 
     @property
     def stops(self) -> list[PlannedStop]:
-        """Planned stops that are over."""
+        """Planned stops that have ended, in this order."""
         return self._stops.done
 
     async def run(self, seconds: float) -> None:
-        """Bring failures about for a time; all are mended at the end."""
+        """Inject faults for ``seconds``; all have ended on return."""
         end = time.monotonic() + seconds
-        await asyncio.gather(*(self._chain(end) for _ in range(self._chains)))
+        await asyncio.gather(
+            *(self._inject_repeatedly(end) for _ in range(self._concurrency))
+        )
 
-    async def _chain(self, end: float) -> None:
+    async def _inject_repeatedly(self, end: float) -> None:
         while time.monotonic() < end:
             name = self._random.choice(list(self._kinds))
             began = time.monotonic()
-            lasts = self._random.uniform(_SHORTEST, _LONGEST)
-            subject = await self._kinds[name](lasts)
+            duration = self._random.uniform(_MIN_SECONDS, _MAX_SECONDS)
+            subject = await self._kinds[name](duration)
             self.spans.append(Span(name, subject, began, time.monotonic()))
-            await asyncio.sleep(self._random.uniform(0, _CALM_SECONDS))
+            await asyncio.sleep(self._random.uniform(0, _MAX_PAUSE_SECONDS))
 
     @contextlib.contextmanager
-    def _take(self, names: list[str]) -> object:
-        """Take one that no other failure has at present; empty for none."""
+    def _reserve(self, names: list[str]) -> object:
+        """Reserve a random name that no other fault uses; empty if none."""
         free = sorted(set(names) - self._busy)
         name = self._random.choice(free) if free else ''
         self._busy.add(name)
@@ -120,63 +122,63 @@
 
     # Instances
 
-    async def _kill(self, lasts: float) -> str:
-        with self._take_instance() as instance:
+    async def _kill(self, duration: float) -> str:
+        with self._reserve_instance() as instance:
             if instance is None:
                 return ''
             instance.process.kill()
-            await asyncio.sleep(lasts / 2)
+            await asyncio.sleep(duration / 2)
             await asyncio.to_thread(self._site.restart_instance, instance)
             return instance.name
 
-    async def _freeze(self, lasts: float) -> str:
-        with self._take_instance() as instance:
+    async def _freeze(self, duration: float) -> str:
+        with self._reserve_instance() as instance:
             if instance is None:
                 return ''
             instance.process.freeze()
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             instance.process.wake()
             return instance.name
 
-    async def _stop(self, _lasts: float) -> str:
-        """Stop an instance, which is killed meanwhile one time in four."""
-        with self._take_instance() as instance:
+    async def _stop(self, _duration: float) -> str:
+        """Stop an instance; one time in four it is killed meanwhile."""
+        with self._reserve_instance() as instance:
             if instance is None:
                 return ''
-            kill_after = math.inf if self._random.randrange(4) else _SHORTEST
+            kill_after = math.inf if self._random.randrange(4) else _MIN_SECONDS
             stop = await self._stops.stop(instance, kill_after)
             return f'{instance.name}, exit code {stop.code}'
 
-    async def _stop_series(self, _lasts: float) -> str:
-        """Stop one instance after another, the next before the last is gone."""
+    async def _stop_series(self, _duration: float) -> str:
+        """Stop one instance after another, without waiting for exits."""
         period = self._random.choice(_SERIES_PERIODS)
         stopped = await asyncio.gather(
             *(
-                self._stop_later(period * place)
-                for place in range(len(self._site.instances))
+                self._stop_later(period * position)
+                for position in range(len(self._site.instances))
             ),
         )
         return f'every {period} s: {", ".join(filter(None, stopped))}'
 
     async def _stop_later(self, seconds: float) -> str:
         await asyncio.sleep(seconds)
-        with self._take_instance() as instance:
+        with self._reserve_instance() as instance:
             if instance is None:
                 return ''
             stop = await self._stops.stop(instance)
             return f'{instance.name} exit code {stop.code}'
 
-    async def _reload(self, _lasts: float) -> str:
-        with self._take_instance() as instance:
+    async def _reload(self, _duration: float) -> str:
+        with self._reserve_instance() as instance:
             if instance is None:
                 return ''
             instance.process.send_signal(signal.SIGHUP)
             return instance.name
 
     @contextlib.contextmanager
-    def _take_instance(self) -> object:
+    def _reserve_instance(self) -> object:
         names = [instance.name for instance in self._site.instances]
-        with self._take(names) as name:
+        with self._reserve(names) as name:
             yield self._find_instance(name)
 
     def _find_instance(self, name: str) -> RoutedInstance | None:
@@ -187,18 +189,18 @@
 
     # Endpoints, store, links
 
-    async def _kill_endpoint(self, lasts: float) -> str:
-        with self._take(list(self._site.endpoints)) as name:
+    async def _kill_endpoint(self, duration: float) -> str:
+        with self._reserve(list(self._site.endpoints)) as name:
             if not name:
                 return ''
-            shown = await asyncio.to_thread(self._site.show_endpoint, name)
-            self.forgotten_runs.setdefault(name, []).extend(shown['runs'])
+            state = await asyncio.to_thread(self._site.show_endpoint, name)
+            self.forgotten_runs.setdefault(name, []).extend(state['runs'])
             self._site.endpoint_processes[name].kill()
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             await asyncio.to_thread(self._site.restart_endpoint, name)
             return name
 
-    async def _break_endpoint(self, lasts: float) -> str:
+    async def _disturb_endpoint(self, duration: float) -> str:
         fault = self._random.choice(
             (
                 {'shed': True},
@@ -207,50 +209,50 @@
                 {'hang': True},
                 {'break_after': 2},
                 {'crossed': True},
-                {'pace': _DELAY},
+                {'pace': _MAX_DELAY},
             ),
         )
-        with self._take(list(self._site.endpoints)) as name:
+        with self._reserve(list(self._site.endpoints)) as name:
             if not name:
                 return ''
             await asyncio.to_thread(self._site.break_endpoint, name, **fault)
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             await asyncio.to_thread(self._site.break_endpoint, name)
             return f'{name}: {fault}'
 
-    async def _break_store(self, lasts: float) -> str:
+    async def _disturb_store(self, duration: float) -> str:
         fault = self._random.choice(
             (
                 {'status': 503},
                 {'status': 429},
                 {'hang': True},
-                {'delay': _DELAY},
+                {'delay': _MAX_DELAY},
                 {'lose_answers': 3},
             ),
         )
-        with self._take(['store']) as name:
+        with self._reserve(['store']) as name:
             if not name:
                 return ''
             await asyncio.to_thread(self._site.break_store, **fault)
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             await asyncio.to_thread(self._site.break_store)
             return str(fault)
 
-    async def _harm_link(self, lasts: float) -> str:
+    async def _disturb_link(self, duration: float) -> str:
         harm = self._random.choice(list(Harm))
-        with self._take(list(self._links)) as name:
+        with self._reserve(list(self._links)) as name:
             if not name:
                 return ''
-            self._links[name].harm(harm, self._random.uniform(0, _DELAY))
-            await asyncio.sleep(lasts)
+            self._links[name].harm(harm, self._random.uniform(0, _MAX_DELAY))
+            await asyncio.sleep(duration)
             self._links[name].heal()
             return f'{name}: {harm.value}'
 
     # The operator
 
-    async def _replace_key(self, _lasts: float) -> str:
-        """Take the key away that callers use, and give out another one."""
-        with self._take(['operator']) as name:
+    async def _replace_key(self, _duration: float) -> str:
+        """Revoke the key that callers use, and issue another one."""
+        with self._reserve(['operator']) as name:
             if not name:
                 return ''
             old = self._callers.key
@@ -261,8 +263,8 @@
             self.given_at[self._callers.key] = time.monotonic()
             return old
 
-    async def _change_configuration(self, _lasts: float) -> str:
-        with self._take(['operator']) as name:
+    async def _change_configuration(self, _duration: float) -> str:
+        with self._reserve(['operator']) as name:
             if not name:
                 return ''
             number = self._random.randrange(100)
