--- a/testbed/soak/routed.py
+++ b/testbed/soak/routed.py
@@ -1,8 +1,9 @@
-"""A long run of the routed interface under failures drawn from a seed.
+"""A long run of the routed interface under random faults from a seed.
 
-Real programs as separate processes, a proxy before every endpoint and before
-the store of every instance, callers on kept connections.  Exit code 1 when a
-promise was broken; logs stay in the folder that is named then.
+All programs run as separate processes, with a proxy in front of every endpoint
+and between the store and each instance; callers reuse connections.  The exit
+code is 1 if a guarantee was violated; the logs are then kept in the folder that
+is printed.
 """
 
 import argparse
@@ -28,9 +29,9 @@
 
 _INSTANCES = 3
 _SECONDS = 30.0
-#: Seconds in which endpoints that were left alone are tried again, and entries
-#: and configuration reach all instances.
-_CALM_SECONDS = 7.0
+#: Seconds in which excluded endpoints are retried, and rows and configuration
+#: reach all instances.
+_RECOVERY_SECONDS = 7.0
 
 
 async def soak(
@@ -39,14 +40,14 @@
     seed: int,
     only_stops: bool = False,
 ) -> list[str]:
-    """Run callers and failures together, mend all, then check.
+    """Run callers and faults together, end all faults, then check.
 
-    With ``only_stops`` planned stops are the only failures.
+    With ``only_stops`` planned stops are the only faults.
 
     Returns
     -------
     list of str
-        Every promise that was broken.
+        A line for each violated guarantee.
     """
     async with _open_links(site) as links:
         callers = RoutedCallers(site, seed)
@@ -56,22 +57,22 @@
         faults = RoutedFaults(site, links, callers, seed, only_stops)
         await asyncio.gather(callers.run(seconds), faults.run(seconds))
         await asyncio.to_thread(wait_for_all, site)
-        await asyncio.sleep(_CALM_SECONDS)
-        last = await callers.call_once()
-        _show(callers, faults)
-        calm = await asyncio.to_thread(check_calm, site, last)
+        await asyncio.sleep(_RECOVERY_SECONDS)
+        final_calls = await callers.call_once()
+        _print_summary(callers, faults)
+        recovery = await asyncio.to_thread(check_calm, site, final_calls)
         calls = await asyncio.to_thread(
             check_calls,
             site,
             callers.told,
             faults,
         )
-    return calls + calm
+    return calls + recovery
 
 
 @contextlib.asynccontextmanager
 async def _open_links(site: RoutedSite) -> AsyncIterator[dict[str, Link]]:
-    """Put proxies before endpoints and store, and start the instances."""
+    """Open proxies to endpoints and store, and start the instances."""
     links: dict[str, Link] = {}
     for name, address in site.endpoints.items():
         links[name] = Link(name, address)
@@ -96,11 +97,11 @@
             link.close()
 
 
-def _show(callers: RoutedCallers, faults: RoutedFaults) -> None:
+def _print_summary(callers: RoutedCallers, faults: RoutedFaults) -> None:
     for span in faults.spans:
-        lasted = span.ended - span.began
+        duration = span.ended - span.began
         print(
-            f'  {span.began:.2f} {span.name}: {span.subject}, {lasted:.1f} s',
+            f'  {span.began:.2f} {span.name}: {span.subject}, {duration:.1f} s',
         )
     outcomes = collections.Counter(
         f'{item.kind} {item.status}{"" if item.whole else " broken"}'
@@ -109,34 +110,34 @@
     for label, count in sorted(outcomes.items()):
         print(f'{count:6} {label}')
     for stop in faults.stops:
-        _show_stop(stop, callers.told)
+        _print_stop(stop, callers.told)
 
 
-def _show_stop(stop: PlannedStop, told: list[RoutedTold]) -> None:
-    """Show a stop, with calls that it cut at its end or left unanswered."""
-    cut = sum(is_cut_by_end(item, stop) for item in told)
+def _print_stop(stop: PlannedStop, records: list[RoutedTold]) -> None:
+    """Print a stop, with the calls that it truncated or left unanswered."""
+    cut = sum(is_cut_by_end(item, stop) for item in records)
     unanswered = [
         f'{item.sent_at - stop.asked_at:.2f} s, {item.connection}'
-        for item in told
+        for item in records
         if is_unanswered(item, stop)
     ]
-    lasted = stop.ended_at - stop.asked_at
+    duration = stop.ended_at - stop.asked_at
     print(
-        f'  {stop.asked_at:.2f} stop of {stop.instance}: {lasted:.2f} s,',
-        f'exit code {stop.code}, {cut} cut at its end,',
+        f'  {stop.asked_at:.2f} stop of {stop.instance}: {duration:.2f} s,',
+        f'exit code {stop.code}, {cut} truncated at its end,',
         f'no answer: {"; ".join(unanswered) or "none"}',
     )
 
 
 def main() -> int:
-    """Read the options and run."""
+    """Run with the options of the command line; return the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--seconds', type=float, default=_SECONDS)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument(
         '--stops',
         action='store_true',
-        help='Bring nothing but planned stops about.',
+        help='Inject no faults but planned stops.',
     )
     options = parser.parse_args()
     directory = pathlib.Path(tempfile.mkdtemp(prefix='kelproad-soak-'))
@@ -146,7 +147,7 @@
         )
     for line in broken:
         print(f'BROKEN: {line}')
-    print(f'seed {options.seed}: {len(broken)} promises broken')
+    print(f'seed {options.seed}: {len(broken)} guarantees violated')
     if broken:
         print(f'logs: {directory}')
     else:
--- a/testbed/soak/routed_callers.py
+++ b/testbed/soak/routed_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the routed interface that remember every answer."""
+"""Callers of the routed interface that record every answer."""
 
 import asyncio
 import itertools
@@ -14,33 +14,33 @@
 __all__ = ['RoutedCallers', 'RoutedTold']
 
 _CALLERS = 12
-#: Callers of streams that last seconds; all of them fill half of the engines'
-#: slots, so that the others are still served.
+#: Callers of long streams; together these fill half of the engines' slots, so
+#: that the other callers are still served.
 _LONG_CALLERS = 12
 _PAUSE = 0.1
-#: Share of calls that come on a connection of their own.
-_FRESH_SHARE = 0.3
+#: Share of calls that are sent on a new connection.
+_NEW_CONNECTION_SHARE = 0.3
 _OK = 200
-#: Prompt tokens: short, long, and beyond what an engine holds.
+#: Prompt tokens: short, long, and more than the memory of an engine holds.
 _PROMPTS = (500, 60_000, 300_000)
-#: Events and seconds between them of a short stream, as endpoints have them.
+#: Events of a short stream, and seconds between them: the endpoints' defaults.
 _EVENTS = 5
 _PACE = 0.01
-#: Events of long streams; with the seconds of a usual pass between them these
-#: last from half a second to seven, the longest nearly as long as a stop.
+#: Fewest and most events of long streams.  At one event per usual pass of an
+#: engine these last 0.5 to 7 s, the longest nearly as long as a planned stop.
 _LONG_EVENTS = (10, 140)
 _PASS_SECONDS = 0.05
-#: Tokens that a pass writes, as the configuration says.
+#: Tokens that an engine decodes in a pass, as in the configuration.
 _STRIDE = 43
-#: Spread of answers around their callers' estimates: 5 in 100 exceed it 2.3
-#: times; the longest answer permitted is three times the estimate.
+#: Standard deviation of the logarithm of answer length to estimate: 5 in 100
+#: answers exceed 2.3 times the estimate; the maximum permitted is 3 times it.
 _HINT_SPREAD = 0.5
-_MOST_HINTS = 3
+_MAX_HINTS = 3
 
 
 @attrs.frozen
 class _Kind:
-    """A kind of calls: its route, how often, and how long its callers wait."""
+    """A kind of calls: its route, relative frequency and deadline."""
 
     name: str
     weight: int
@@ -63,24 +63,25 @@
 
 @attrs.define
 class RoutedTold:
-    """One call and what its caller was told.
+    """One call and its result, as its caller observed it.
 
     Attributes
     ----------
     sent_at, ended_at
         Monotonic times.
     deadline
-        Seconds that its caller waits, and over which an answer is late.
+        Seconds from ``sent_at`` after which an answer is late.
     events
-        Events of the stream that was asked for, 0 for a plain call.
+        Events of the requested stream, 0 for a plain call.
     fresh
-        Whether it came on a connection of its own.
+        Whether it was sent on a new connection.
     status
-        Status of the answer; 0 when there was none.
+        Status of the answer; 0 if there was none.
     whole
-        Whether the answer came to its proper end.
+        Whether the answer is complete.
     refused
-        Whether no connection was made, so that nobody has taken the call.
+        Whether the connection was refused, so that no instance has accepted
+        the call.
     """
 
     request_id: str
@@ -101,20 +102,20 @@
 
     @property
     def answered(self) -> bool:
-        """Whether the caller has what it asked for."""
+        """Whether the answer is complete and successful."""
         return self.whole and self.status == _OK
 
     @property
     def connection(self) -> str:
-        """What kind of connection it came on."""
+        """Kind of connection that it was sent on, for reports."""
         return 'new connection' if self.fresh else 'kept connection'
 
     def find_fault(self) -> str:
-        """Say what is wrong with an answer that looks complete."""
+        """Return the defect of a complete answer; empty if none."""
         if not self.answered:
             return ''
         if not self.stamp.endswith(f'.{self.request_id}'):
-            return f'answer of another call: {self.stamp}'
+            return f'answer to another call: {self.stamp}'
         if not self.events:
             return '' if self.body.startswith('answer of') else self.body
         numbers = [
@@ -127,27 +128,27 @@
 
 
 class RoutedCallers:
-    """Calls the instances of a site over kept connections."""
+    """Calls the instances of a site, mostly over reused connections."""
 
     def __init__(self, site: RoutedSite, seed: int) -> None:
-        """Draw calls from a seed."""
+        """Choose calls at random from a seed."""
         self._site = site
         self._random = random.Random(seed)
         self._ids = itertools.count(1)
-        #: Key that calls bear; operators replace it meanwhile.
+        #: API key of new calls; replaced by key rotations during the run.
         self.key = ''
         self.told: list[RoutedTold] = []
 
     async def run(self, seconds: float) -> None:
-        """Call for a time, then wait for what is under way."""
+        """Call for ``seconds``, then wait for the calls in flight."""
         end = time.monotonic() + seconds
         kinds = (
             *itertools.repeat(_KINDS, _CALLERS),
             *itertools.repeat(_LONG_KINDS, _LONG_CALLERS),
         )
-        async with aiohttp.ClientSession() as kept:
+        async with aiohttp.ClientSession() as shared:
             await asyncio.gather(
-                *(self._call_until(end, kept, drawn) for drawn in kinds),
+                *(self._call_until(end, shared, chosen) for chosen in kinds),
             )
 
     async def call_once(self) -> list[RoutedTold]:
@@ -162,19 +163,19 @@
     async def _call_until(
         self,
         end: float,
-        kept: aiohttp.ClientSession,
+        shared: aiohttp.ClientSession,
         kinds: tuple[_Kind, ...],
     ) -> None:
-        """Call any instance, also one that stops, until it is gone."""
+        """Call random instances, including stopping and stopped ones."""
         weights = [kind.weight for kind in kinds]
         while time.monotonic() < end:
             instance = self._random.choice(self._site.instances)
             kind = self._random.choices(kinds, weights)[0]
-            if self._random.random() < _FRESH_SHARE:
-                async with aiohttp.ClientSession() as own:
-                    await self._call(own, kind, instance, fresh=True)
+            if self._random.random() < _NEW_CONNECTION_SHARE:
+                async with aiohttp.ClientSession() as new:
+                    await self._call(new, kind, instance, fresh=True)
             else:
-                await self._call(kept, kind, instance)
+                await self._call(shared, kind, instance)
             await asyncio.sleep(self._random.uniform(0, 2 * _PAUSE))
 
     async def _call(
@@ -184,35 +185,37 @@
         instance: RoutedInstance,
         fresh: bool = False,
     ) -> RoutedTold:
-        told = RoutedTold(
+        record = RoutedTold(
             f'{next(self._ids):016x}',
             kind.name,
             self.key,
             instance.name,
             time.monotonic(),
             kind.deadline,
-            self._draw_events(kind),
+            self._choose_events(kind),
             fresh,
         )
-        self.told.append(told)
+        self.told.append(record)
         try:
             async with session.post(
-                self._build_url(kind, instance, told),
+                self._build_url(kind, instance, record),
                 data=b'prompt',
-                headers=self._build_headers(kind, told),
+                headers=self._build_headers(kind, record),
                 timeout=aiohttp.ClientTimeout(total=2 * kind.deadline),
             ) as response:
-                told.status = response.status
-                told.stamp = response.headers.get('X-Kelproad-Server-Stamp', '')
-                told.body = (await response.read()).decode()
-            told.whole = True
+                record.status = response.status
+                record.stamp = response.headers.get(
+                    'X-Kelproad-Server-Stamp', ''
+                )
+                record.body = (await response.read()).decode()
+            record.whole = True
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError) as error:
-            told.reason = repr(error)
-            told.refused = isinstance(error, aiohttp.ClientConnectorError)
-        told.ended_at = time.monotonic()
-        return told
+            record.reason = repr(error)
+            record.refused = isinstance(error, aiohttp.ClientConnectorError)
+        record.ended_at = time.monotonic()
+        return record
 
-    def _draw_events(self, kind: _Kind) -> int:
+    def _choose_events(self, kind: _Kind) -> int:
         if not kind.streams:
             return 0
         return self._random.randint(*_LONG_EVENTS) if kind.long else _EVENTS
@@ -221,33 +224,35 @@
         self,
         kind: _Kind,
         instance: RoutedInstance,
-        told: RoutedTold,
+        record: RoutedTold,
     ) -> str:
         url = f'http://{instance.caller}/{kind.name}/x'
         if not kind.streams:
             return url
         pace = _PASS_SECONDS if kind.long else _PACE
-        return f'{url}?events={told.events}&pace={pace}'
+        return f'{url}?events={record.events}&pace={pace}'
 
-    def _build_headers(self, kind: _Kind, told: RoutedTold) -> dict[str, str]:
+    def _build_headers(self, kind: _Kind, record: RoutedTold) -> dict[str, str]:
         headers = {
             'Host': HOST,
-            'X-Kelproad-Request-Id': told.request_id,
-            'X-Kelproad-Deadline-Ms': str(int(told.deadline * 1000)),
-            'X-Api-Key': told.key,
+            'X-Kelproad-Request-Id': record.request_id,
+            'X-Kelproad-Deadline-Ms': str(int(record.deadline * 1000)),
+            'X-Api-Key': record.key,
         }
         if kind.long:
-            return headers | self._estimate(told.events * _STRIDE)
+            return headers | self._build_estimate_headers(
+                record.events * _STRIDE
+            )
         if kind.streams:
             prompt = self._random.choice(_PROMPTS)
             headers['X-Kelproad-Token-Count'] = f'{prompt},100'
         return headers
 
-    def _estimate(self, tokens: int) -> dict[str, str]:
-        """Tell the length of an answer as its caller guesses it."""
-        times = self._random.lognormvariate(0, _HINT_SPREAD)
-        hint = math.ceil(tokens / min(times, _MOST_HINTS))
-        permitted = hint * _MOST_HINTS
+    def _build_estimate_headers(self, tokens: int) -> dict[str, str]:
+        """Return headers with the caller's estimate of the answer length."""
+        ratio = self._random.lognormvariate(0, _HINT_SPREAD)
+        hint = math.ceil(tokens / min(ratio, _MAX_HINTS))
+        permitted = hint * _MAX_HINTS
         return {
             'X-Kelproad-Token-Count': f'{_PROMPTS[0]},{permitted}',
             'X-Kelproad-Length-Hint': str(hint),
--- a/testbed/soak/routed_stops.py
+++ b/testbed/soak/routed_stops.py
@@ -1,6 +1,6 @@
-"""Planned stops as a platform brings them about, and how each went.
+"""Planned stops of instances, as a platform performs them.
 
-A stop is asked for by SIGTERM and ends with a kill when its time is over.
+A stop begins with SIGTERM; the process is killed after a grace period.
 """
 
 import asyncio
@@ -16,28 +16,29 @@
 
 __all__ = ['GRACE', 'PlannedStop', 'PlannedStops']
 
-#: Seconds from SIGTERM to the kill, as the settings of the instances say.
+#: Seconds from SIGTERM to the kill, as in the settings of the instances.
 GRACE = 8.0
-_LOOK_PERIOD = 0.02
-#: What an instance is sent once more while it stops, if anything; platforms
-#: repeat what they ask for, and operators reload all instances at once.
+_POLL_PERIOD = 0.02
+#: Second signal while an instance stops, if any: platforms repeat SIGTERM, and
+#: operators reload all instances at once.
 _SECOND_SIGNALS = (None, signal.SIGTERM, signal.SIGHUP)
 
 
 @attrs.frozen
 class PlannedStop:
-    """One stop of an instance.
+    """One planned stop of an instance and its result.
 
     Attributes
     ----------
     asked_at, ended_at, back_at
-        Monotonic times of SIGTERM, of the end, and of serving again.
+        Monotonic times of SIGTERM, of the exit or kill, and of readiness after
+        the restart.
     code
         Exit code.
     killed_at
-        Time of a kill before the time was over; infinite without one.
+        Time of a kill within the grace period; infinite without one.
     overdue
-        Whether it was still alive at the end of its time.
+        Whether it was still running at the end of the grace period.
     """
 
     instance: str
@@ -49,15 +50,15 @@
     overdue: bool = False
 
     def covers(self, moment: float) -> bool:
-        """Tell whether the instance was stopping at a time."""
+        """Return whether the instance was stopping at a monotonic time."""
         return self.asked_at <= moment <= self.ended_at
 
 
 class PlannedStops:
-    """Stops instances and starts them again."""
+    """Stops instances, restarts them and records the stops."""
 
     def __init__(self, site: RoutedSite, generator: random.Random) -> None:
-        """Draw what else happens during a stop."""
+        """Use ``generator`` for the second signals and their times."""
         self._site = site
         self._random = generator
         self.done: list[PlannedStop] = []
@@ -67,19 +68,19 @@
         instance: RoutedInstance,
         kill_after: float = math.inf,
     ) -> PlannedStop:
-        """Stop an instance, which may be killed before its time is over."""
+        """Stop and restart an instance; ``kill_after`` shortens its grace."""
         process = instance.process
-        second = self._random.choice(_SECOND_SIGNALS)
+        second_signal = self._random.choice(_SECOND_SIGNALS)
         second_after = self._random.uniform(0, GRACE)
         asked_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        last = asked_at + min(GRACE, kill_after)
-        if second and await _outlives(
+        kill_at = asked_at + min(GRACE, kill_after)
+        if second_signal and await _is_running_until(
             process,
-            min(asked_at + second_after, last),
+            min(asked_at + second_after, kill_at),
         ):
-            process.send_signal(second)
-        alive = await _outlives(process, last)
+            process.send_signal(second_signal)
+        alive = await _is_running_until(process, kill_at)
         ended_at = time.monotonic()
         if alive:
             process.kill()
@@ -98,8 +99,8 @@
         return stop
 
 
-async def _outlives(process: Process, until: float) -> bool:
-    """Wait for the end of a process; tell whether it runs at a time."""
+async def _is_running_until(process: Process, until: float) -> bool:
+    """Wait for an exit until a time; return whether the process runs."""
     while process.running and time.monotonic() < until:
-        await asyncio.sleep(_LOOK_PERIOD)
+        await asyncio.sleep(_POLL_PERIOD)
     return process.running
