--- a/testbed/soak/routed_checks.py
+++ b/testbed/soak/routed_checks.py
@@ -1,4 +1,4 @@
-"""What a routed site promised, against what callers and endpoints saw."""
+"""Checks of a routed site's guarantees after a run with faults."""
 
 import math
 
@@ -11,49 +11,49 @@
 
 __all__ = ['check_calls', 'check_calm']
 
-#: Statuses that promise that a call has not run.
-_PROMISES = frozenset((408, 421, 429, 503))
+#: Statuses that guarantee that the call has not run.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _UNKNOWN_KEY = 401
-_ONCE = frozenset(('bookings', 'fragile', 'long-fragile'))
-#: Seconds after which a key that was taken away runs nothing, and for a call
-#: to get from its caller to an endpoint.
+_AT_MOST_ONCE = frozenset(('bookings', 'fragile', 'long-fragile'))
+#: Seconds after which no call with a revoked key runs, including the time of a
+#: call from its caller to an endpoint.
 _REVOKED_WITHIN = 5.0
-#: Seconds after which a key that was given out is known, or the call is told
-#: that it has not run.
-_GIVEN_WITHIN = 2.5
-#: Seconds by which an answer may be late on a busy machine.
-_LATE = 1.0
-#: Seconds around a failure of an instance in which it may cut calls.
-_AROUND = 0.5
-_BREAKS_INSTANCE = frozenset(('instance killed', 'instance frozen'))
+#: Seconds after which a new key is known, or the call is refused with a status
+#: which states that it has not run.
+_KNOWN_WITHIN = 2.5
+#: Seconds past its deadline that an answer may take on a busy machine.
+_LATE_TOLERANCE = 1.0
+#: Seconds before and after a fault of an instance in which it may abort calls.
+_FAULT_MARGIN = 0.5
+_INSTANCE_FAULTS = frozenset(('instance killed', 'instance frozen'))
 
 
 def check_calls(
     site: RoutedSite,
-    told: list[RoutedTold],
+    records: list[RoutedTold],
     faults: RoutedFaults,
 ) -> list[str]:
-    """List every promise that was broken to callers."""
+    """Return a line for each guarantee to callers that was violated."""
     runs = _list_runs(site, faults)
-    known = {item.request_id for item in told}
+    known = {item.request_id for item in records}
     broken = [
-        f'{request_id}: run though nobody sent it'
+        f'{request_id}: ran, but no caller sent it'
         for request_id in runs
         if request_id not in known
     ]
-    for item in told:
-        faulty = _find_broken(item, runs.get(item.request_id, []), faults)
-        if faulty:
-            broken.append(f'{item.request_id} {item.kind}: {faulty}; {item}')
+    for item in records:
+        violation = _find_violation(item, runs.get(item.request_id, []), faults)
+        if violation:
+            broken.append(f'{item.request_id} {item.kind}: {violation}; {item}')
     for stop in faults.stops:
-        failed = find_failed_stop(stop, told, runs)
+        failed = find_failed_stop(stop, records, runs)
         if failed:
             broken.append(f'{stop.instance}: {failed}; {stop}')
     return broken
 
 
 def _list_runs(site: RoutedSite, faults: RoutedFaults) -> dict[str, list[str]]:
-    """List the endpoints that ran each request, as often as they did."""
+    """Return the endpoints of each request, one entry per run."""
     runs: dict[str, list[str]] = {}
     for name in site.endpoints:
         forgotten = faults.forgotten_runs.get(name, [])
@@ -62,86 +62,88 @@
     return runs
 
 
-def _find_broken(
+def _find_violation(
     item: RoutedTold,
     endpoints: list[str],
     faults: RoutedFaults,
 ) -> str:
-    """Say which promise a call broke; empty when none."""
+    """Return the guarantee that a call violates; empty if none."""
     runs = len(endpoints)
-    broken = item.find_fault() or _find_untrue(item, runs, faults)
+    broken = item.find_fault() or _find_inexcusable(item, runs, faults)
     if broken or _is_disturbed(item, faults):
         return broken
     cut = find_cut(item, endpoints, faults)
-    return cut or _find_unserved(item, runs, faults)
+    return cut or _find_service_failure(item, runs, faults)
 
 
-def _find_untrue(item: RoutedTold, runs: int, faults: RoutedFaults) -> str:
-    """Say what nothing excuses."""
-    if runs > 1 and item.kind in _ONCE:
+def _find_inexcusable(item: RoutedTold, runs: int, faults: RoutedFaults) -> str:
+    """Return a violation that no fault can excuse; empty if none."""
+    if runs > 1 and item.kind in _AT_MOST_ONCE:
         return f'ran {runs} times'
-    if runs and item.whole and item.status in _PROMISES:
-        return f'{item.status} though it ran'
+    if runs and item.whole and item.status in _NOT_RUN_STATUSES:
+        return f'answered with {item.status}, but it ran'
     revoked = faults.revoked_at.get(item.key, item.sent_at)
     if runs and item.sent_at > revoked + _REVOKED_WITHIN:
-        return 'ran with a key that was taken away'
+        return 'ran with a revoked key'
     return ''
 
 
-def _find_unserved(item: RoutedTold, runs: int, faults: RoutedFaults) -> str:
-    """Say what an instance that was well should have done better."""
-    given = faults.given_at.get(item.key, item.sent_at)
-    known = given + _GIVEN_WITHIN < item.sent_at
+def _find_service_failure(
+    item: RoutedTold, runs: int, faults: RoutedFaults
+) -> str:
+    """Return a failure that a healthy instance must avoid; empty if none."""
+    issued = faults.given_at.get(item.key, item.sent_at)
+    known = issued + _KNOWN_WITHIN < item.sent_at
     if item.status == _UNKNOWN_KEY and known:
         if item.key not in faults.revoked_at:
-            return 'a key that is there was refused for good'
-    lasted = item.ended_at - item.sent_at
-    if lasted > item.deadline + _LATE:
-        return f'answered after {lasted:.1f} s'
-    crossed = not runs and lasted < CROSSING
+            return 'a valid key was rejected as unknown'
+    duration = item.ended_at - item.sent_at
+    if duration > item.deadline + _LATE_TOLERANCE:
+        return f'answered after {duration:.1f} s'
+    crossed = not runs and duration < CROSSING
     if not (item.status or item.refused or crossed):
         return 'closed without an answer'
     return ''
 
 
 def _is_disturbed(item: RoutedTold, faults: RoutedFaults) -> bool:
-    """Tell whether its instance was killed or frozen meanwhile.
+    """Return whether its instance was killed or frozen during the call.
 
-    A stop is no excuse but for a kill before its time was over.
+    A planned stop counts only if it was killed before its grace period ended.
     """
-    breaks = [
+    spans = [
         span
         for span in faults.spans
-        if span.subject == item.instance and span.name in _BREAKS_INSTANCE
+        if span.subject == item.instance and span.name in _INSTANCE_FAULTS
     ]
-    breaks += [
+    spans += [
         Span('killed', stop.instance, stop.killed_at, stop.back_at)
         for stop in faults.stops
         if stop.instance == item.instance and stop.killed_at < math.inf
     ]
     return any(
-        item.sent_at < span.ended + _AROUND
-        and span.began - _AROUND < item.ended_at
-        for span in breaks
+        item.sent_at < span.ended + _FAULT_MARGIN
+        and span.began - _FAULT_MARGIN < item.ended_at
+        for span in spans
     )
 
 
-def check_calm(site: RoutedSite, last: list[RoutedTold]) -> list[str]:
-    """List what is not well again after everything has been mended."""
+def check_calm(site: RoutedSite, final_calls: list[RoutedTold]) -> list[str]:
+    """Return a line for each fault effect that outlasts all faults."""
     broken = [
-        f'{item.request_id} {item.kind} after all was mended: {item}'
-        for item in last
+        f'{item.request_id} {item.kind} failed after all faults ended: {item}'
+        for item in final_calls
         if not item.answered
     ]
     try:
-        wait_for(lambda: not _list_left(site), 'nothing left')
+        wait_for(lambda: not _list_unreleased(site), 'work or memory left')
     except (TimeoutError, CallError) as error:
-        broken.append(f'{error}: {_list_left(site)}')
+        broken.append(f'{error}: {_list_unreleased(site)}')
     return broken
 
 
-def _list_left(site: RoutedSite) -> list[str]:
-    """List work in flight and reserved memory that nobody needs any more."""
+def _list_unreleased(site: RoutedSite) -> list[str]:
+    """List work and reserved memory that should have been released."""
     left = [
         f'{name} holds {ticket}'
         for name in site.endpoints
--- a/testbed/soak/routed_cuts.py
+++ b/testbed/soak/routed_cuts.py
@@ -1,4 +1,4 @@
-"""Answers that broke off, and what explains each: a failure or a late stop."""
+"""Truncated answers, and whether a fault or a planned stop explains each."""
 
 from collections.abc import Iterable
 
@@ -15,23 +15,23 @@
     'is_unanswered',
 ]
 
-#: Seconds in which a call may cross the closing of its connection unread.
+#: Seconds in which a call may be lost unread as its connection is closed.
 CROSSING = 0.2
 
-#: Seconds after SIGTERM in which a balancer notices; it sends nothing later
-#: unless it has no other instance.
+#: Seconds after SIGTERM in which a load balancer notices the stop; it sends no
+#: calls later unless it has no other instance.
 _NOTICED_WITHIN = 3.0
-#: Seconds after SIGTERM from which a call that came before may be cut: the
-#: last sixth of the time until the kill.
-_MAY_CUT_AFTER = GRACE * 5 / 6
-#: Seconds before its deadline at which a call may be given up: less than a
-#: connection and the shortest answer take, and the way back.
+#: Seconds after SIGTERM from which a call that was sent before
+#: ``_NOTICED_WITHIN`` may be truncated: the last sixth of the grace period.
+_MAY_TRUNCATE_AFTER = GRACE * 5 / 6
+#: Seconds before its deadline at which a call may be aborted: less than it
+#: takes to connect and to receive the shortest answer.
 _NEAR_DEADLINE = 0.1
-#: Seconds that the end of a process takes to be seen here.
-_AROUND = 0.5
-#: Statuses with which a stop ends what has not begun to be answered.
-_FAILED = frozenset((502, 503))
-_BREAKS_ENDPOINT = frozenset(('endpoint fails', 'link harmed'))
+#: Seconds until the exit of a process is noticed here.
+_EXIT_NOTICE_DELAY = 0.5
+#: Statuses with which a stop ends calls whose answers have not begun.
+_FAILURE_STATUSES = frozenset((502, 503))
+_ENDPOINT_FAULTS = frozenset(('endpoint fails', 'link harmed'))
 
 
 def find_cut(
@@ -39,37 +39,44 @@
     endpoints: list[str],
     faults: RoutedFaults,
 ) -> str:
-    """Say that an answer broke off for no reason that callers must bear.
+    """Return how an answer was truncated without a tolerated cause.
 
     Parameters
     ----------
     item
         The call.
     endpoints
-        Those that ran it.
+        The endpoints that ran it.
     faults
-        What was done to endpoints, links and instances.
+        The faults of endpoints, links and instances.
+
+    Returns
+    -------
+    str
+        Empty if it was not truncated or the cause is tolerated.
     """
-    if not _is_cut(item, endpoints) or _is_explained(item, endpoints, faults):
+    if not _is_truncated(item, endpoints) or _is_explained(
+        item, endpoints, faults
+    ):
         return ''
     stop = _find_stop(item, faults.stops)
     if stop is None:
-        return 'broke off though nothing failed'
+        return 'truncated though nothing failed'
     if is_cut_by_end(item, stop):
         return ''
-    came = item.sent_at - stop.asked_at
+    sent = item.sent_at - stop.asked_at
     ended = item.ended_at - stop.asked_at
-    return f'came {came:.2f} s and was cut {ended:.2f} s after SIGTERM'
+    return f'came {sent:.2f} s and was cut {ended:.2f} s after SIGTERM'
 
 
 def is_cut_by_end(item: RoutedTold, stop: PlannedStop) -> bool:
-    """Tell whether a call came in time and was cut at the end of a stop."""
+    """Return whether a call was sent in time and truncated by a stop's end."""
     in_time = item.sent_at <= stop.asked_at + _NOTICED_WITHIN
-    return in_time and not item.whole and _ends_with(item, stop)
+    return in_time and not item.whole and _ended_at_end_of(item, stop)
 
 
 def is_unanswered(item: RoutedTold, stop: PlannedStop) -> bool:
-    """Tell whether a call got no answer though its connection was taken."""
+    """Return whether a stop ended a connected call without any answer."""
     return (
         item.instance == stop.instance
         and not (item.status or item.refused)
@@ -79,48 +86,48 @@
 
 def find_failed_stop(
     stop: PlannedStop,
-    told: list[RoutedTold],
+    records: list[RoutedTold],
     runs: dict[str, list[str]],
 ) -> str:
-    """Say what was wrong with the end of a process that was stopped.
+    """Return what was wrong with the exit of a stopped process.
 
-    Exit code 1 says that calls were given up, so callers must have seen one:
-    an answer that broke off, or a failure at the end of the stop.
+    Exit code 1 states that calls were aborted, so a caller must have seen one:
+    a truncated answer, or a failure at the end of the stop.
     """
     if stop.overdue:
         return f'alive {GRACE} s after SIGTERM'
     if not stop.code or stop.killed_at <= stop.ended_at:
         return ''
-    given_up = any(
-        _is_given_up(item, runs.get(item.request_id, []))
-        and _ends_with(item, stop)
-        for item in told
+    aborted = any(
+        _is_aborted(item, runs.get(item.request_id, []))
+        and _ended_at_end_of(item, stop)
+        for item in records
     )
-    return '' if stop.code == 1 and given_up else f'exit code {stop.code}'
+    return '' if stop.code == 1 and aborted else f'exit code {stop.code}'
 
 
-def _is_given_up(item: RoutedTold, endpoints: list[str]) -> bool:
-    """Tell whether a call ended as those do that a stop gives up.
+def _is_aborted(item: RoutedTold, endpoints: list[str]) -> bool:
+    """Return whether a call ended like those that a stop aborts.
 
-    One that is refused when it comes was not in hand.
+    A call that is refused on arrival was not in progress.
     """
     if item.whole:
-        lasted = item.ended_at - item.sent_at
-        return item.status in _FAILED and lasted > CROSSING
-    return _is_cut(item, endpoints)
+        duration = item.ended_at - item.sent_at
+        return item.status in _FAILURE_STATUSES and duration > CROSSING
+    return _is_truncated(item, endpoints)
 
 
-def _ends_with(item: RoutedTold, stop: PlannedStop) -> bool:
-    """Tell whether a call ended in the last sixth of a stop."""
+def _ended_at_end_of(item: RoutedTold, stop: PlannedStop) -> bool:
+    """Return whether a call ended in the last sixth of a grace period."""
     return (
         item.instance == stop.instance
-        and stop.asked_at + _MAY_CUT_AFTER <= item.ended_at
-        and item.ended_at <= stop.ended_at + _AROUND
+        and stop.asked_at + _MAY_TRUNCATE_AFTER <= item.ended_at
+        and item.ended_at <= stop.ended_at + _EXIT_NOTICE_DELAY
     )
 
 
-def _is_cut(item: RoutedTold, endpoints: list[str]) -> bool:
-    """Tell whether an answer broke off, or none came though it was run."""
+def _is_truncated(item: RoutedTold, endpoints: list[str]) -> bool:
+    """Return whether an answer was truncated, or missing though it ran."""
     return not item.whole and bool(item.status or endpoints)
 
 
@@ -128,10 +135,10 @@
     item: RoutedTold,
     stops: Iterable[PlannedStop],
 ) -> PlannedStop | None:
-    """Find the stop during which a call ended."""
+    """Return the stop of its instance during which a call ended."""
     for stop in stops:
         if stop.instance == item.instance and stop.asked_at <= item.ended_at:
-            if item.ended_at <= stop.ended_at + _AROUND:
+            if item.ended_at <= stop.ended_at + _EXIT_NOTICE_DELAY:
                 return stop
     return None
 
@@ -141,27 +148,28 @@
     endpoints: list[str],
     faults: RoutedFaults,
 ) -> bool:
-    """Tell whether its deadline or the failure of an endpoint cut a call."""
+    """Return whether a deadline or an endpoint's fault explains a cut."""
     if item.ended_at > item.sent_at + item.deadline - _NEAR_DEADLINE:
         return True
-    # Its link may have lost the call, and a kill what was run just before.
-    _, _, stamped = item.stamp.rpartition('stamp.')
-    name, _, _ = stamped.partition('.')
+    # The link may have lost the call, and a killed endpoint its run records;
+    # the stamp of the answer also names the endpoint.
+    _, _, suffix = item.stamp.rpartition('stamp.')
+    name, _, _ = suffix.partition('.')
     return any(
-        _breaks(span, [*endpoints, name])
+        _affects(span, [*endpoints, name])
         and item.sent_at < span.ended
         and span.began < item.ended_at
         for span in faults.spans
     )
 
 
-def _breaks(span: Span, endpoints: list[str]) -> bool:
-    """Tell whether a failure was one of these endpoints or of its link.
+def _affects(span: Span, endpoints: list[str]) -> bool:
+    """Return whether a fault affects one of the endpoints or its link.
 
-    One that was killed may have forgotten the call.
+    Any killed endpoint counts: it may have run the call and lost the record.
     """
     name, _, harm = span.subject.partition(': ')
     if span.name == 'endpoint killed':
         return bool(name)
-    harmful = harm != Harm.NONE.value
-    return span.name in _BREAKS_ENDPOINT and harmful and name in endpoints
+    has_fault = harm != Harm.NONE.value
+    return span.name in _ENDPOINT_FAULTS and has_fault and name in endpoints
