--- a/testbed/site.py
+++ b/testbed/site.py
@@ -51,7 +51,7 @@
     deployment_settings
         Settings that override those of the deployment.
     lag
-        Passed to the stand-in platform as ``--lag``.
+        Seconds by which the list of instances of the platform lags.
     network
         Whether the stand-in network connects zones, endpoints and the
         platform, so that zones can be isolated.
