--- a/bench/adoption.py
+++ b/bench/adoption.py
@@ -1,7 +1,7 @@
-"""CPU and bytes of one configuration change, by number of workspaces.
+"""CPU time and bytes of a configuration change, by number of workspaces.
 
-Run as ``python -m bench.adoption``.  One file is changed among files of one
-workspace each, and one file that holds all workspaces.
+Run as ``python -m bench.adoption``.  One file changes; the workspaces are
+in files of one workspace each, of up to 50 each, or all in one file.
 """
 
 import asyncio
@@ -20,8 +20,8 @@
 _REPEATS = 5
 
 
-def declare(first: int, count: int) -> str:
-    """Declare some workspaces in one file."""
+def build_file_text(first: int, count: int) -> str:
+    """Return the text of a file that declares ``count`` workspaces."""
     items = ''.join(
         f'  - name: w{number}\n    key_digests:\n      - a{number:063x}\n'
         '    services: [reports, crew]\n    weight: 1\n'
@@ -32,10 +32,10 @@
 
 
 def build_snapshot(workspaces: int, in_file: int) -> Snapshot:
-    """Build a snapshot with so many workspaces to a file."""
+    """Build a snapshot with ``in_file`` workspaces in each file."""
     files = {}
     for first in range(0, workspaces, in_file):
-        text = declare(first, in_file)
+        text = build_file_text(first, in_file)
         parsed = parse_file(text, 'f', {}, alone=True).unwrap()
         revision = len(files) + 1
         files[parsed.name] = AppliedFile(
@@ -45,9 +45,9 @@
 
 
 def measure(workspaces: int, in_file: int) -> None:
-    """Print what adopting one changed file takes, and its message's bytes."""
+    """Print CPU time to adopt one changed file, and bytes to send it."""
     snapshot = build_snapshot(workspaces, in_file)
-    text = declare(0, in_file)
+    text = build_file_text(0, in_file)
     best = float('inf')
     for _ in range(_REPEATS):
         started = time.process_time()
@@ -59,15 +59,15 @@
     message = list_changes(newer, _SETTINGS, snapshot.revision)
     whole = sum(len(item.text) for item in snapshot.files.values())
     print(
-        f'{workspaces:5} workspaces, {in_file:5} to a file: '
+        f'{workspaces:5} workspaces, {in_file:5} per file: '
         f'{best * 1000:7.2f} ms of CPU to adopt one changed file, '
         f'{len(encode_message(message, b"k")):7} bytes of changes, '
-        f'{whole:7} bytes whole',
+        f'{whole:7} bytes of all files',
     )
 
 
 def main() -> None:
-    """Measure all sizes."""
+    """Measure all sizes, each with three file sizes."""
     for workspaces in _SIZES:
         for in_file in (1, min(50, workspaces), workspaces):
             measure(workspaces, in_file)
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -17,14 +17,14 @@
 _API_KEY = 'example-key-crews-colombo'
 _RATES = (1, 10, 100)
 _SECONDS = 10
-#: Seconds by which the platform answers late, as one in the region does.
+#: Seconds by which the platform delays answers, as one in the same region.
 _PLATFORM_DELAY = 0.005
 _WRITES = 'POST /tables/transact'
 
 
 @attrs.frozen
-class Measured:
-    """What a run at one rate gave."""
+class RateResult:
+    """Result of a run at one rate; ``times`` are in seconds."""
 
     rate: int
     answered: int
@@ -34,19 +34,19 @@
     def __str__(self) -> str:
         """Format as a row of the table in ``docs/design/claims.md``."""
         times = sorted(self.times)
-        half, most = times[len(times) // 2], times[int(len(times) * 0.95)]
+        median, p95 = times[len(times) // 2], times[int(len(times) * 0.95)]
         return (
             f'| {self.rate} | {self.answered} | {self.writes} '
             f'| {self.writes / self.answered:.2f} '
-            f'| {half * 1000:.1f} | {most * 1000:.1f} |'
+            f'| {median * 1000:.1f} | {p95 * 1000:.1f} |'
         )
 
 
-def measure(site: Site, rate: int) -> Measured:
-    """Send keyed calls at an even rate to the first instance."""
+def measure(site: Site, rate: int) -> RateResult:
+    """Send calls with idempotency keys evenly to the first instance."""
     before = _count_writes(site)
     times = asyncio.run(_send(site.callers[0], rate))
-    return Measured(rate, len(times), _count_writes(site) - before, times)
+    return RateResult(rate, len(times), _count_writes(site) - before, times)
 
 
 async def _send(caller: str, rate: int) -> list[float]:
@@ -85,7 +85,7 @@
 
 
 def main() -> None:
-    """Print a row for each rate."""
+    """Print a table row for each rate."""
     plan = SitePlan(example=_EXAMPLE, endpoints_per_group=1)
     with tempfile.TemporaryDirectory() as directory:
         with start_site(plan, pathlib.Path(directory)) as site:
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,8 +1,8 @@
 """Time until an accepted change is in force at every instance.
 
-Run as ``python -m bench.configuration [changes]``: a Roadgrip site with nine
-instances, one change of a workspace's weight after another, each watched at
-all instances.  Prints percentiles, and what the changes cost.
+Run as ``python -m bench.configuration [changes]``.  Starts a Roadgrip site with
+nine instances, changes a workspace's weight repeatedly and polls all instances
+for each change.  Prints percentiles, and the CPU time of all processes.
 """
 
 import pathlib
@@ -18,13 +18,13 @@
 from testbed.site import InstanceProcess, Site, SitePlan, start_site
 
 _EXAMPLE = pathlib.Path(__file__).resolve().parent.parent / 'examples'
-_PAUSE = 0.05
-_WATCHED_SECONDS = 15
+_POLL_PERIOD = 0.05
+_ADOPTION_TIMEOUT = 15
 _DEFAULT_CHANGES = 60
 
 
 def measure(changes: int) -> list[float]:
-    """Make changes and return the seconds until each was in force at all."""
+    """Return the seconds until each change was in force everywhere."""
     plan = SitePlan(
         example=_EXAMPLE / 'roadgrip',
         instances_per_zone=3,
@@ -50,32 +50,33 @@
     path.write_text(yaml.safe_dump(content, sort_keys=False))
     revision = site.apply(path)['revision']
     accepted_at = time.monotonic()
-    seen = pool.map(
+    adopted_at = pool.map(
         lambda instance: _wait_for(site, instance, revision),
         site.instances,
     )
-    return max(seen) - accepted_at
+    return max(adopted_at) - accepted_at
 
 
 def _wait_for(site: Site, instance: InstanceProcess, revision: int) -> float:
-    limit = time.monotonic() + _WATCHED_SECONDS
+    limit = time.monotonic() + _ADOPTION_TIMEOUT
     while time.monotonic() < limit:
         files = site.control(instance.operator, 'GET', '/operator/files')
         if files['revision'] >= revision:
             return time.monotonic()
-        time.sleep(_PAUSE)
+        time.sleep(_POLL_PERIOD)
     return float('inf')
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure as many changes as the command line says, and print."""
     changes = int(sys.argv[1]) if sys.argv[1:] else _DEFAULT_CHANGES
     seconds = sorted(measure(changes))
-    cuts = statistics.quantiles(seconds, n=100, method='inclusive')
+    percentiles = statistics.quantiles(seconds, n=100, method='inclusive')
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     print(
         f'{changes} changes, 9 instances: in force everywhere after '
-        f'p50 {cuts[49]:.2f} s, p95 {cuts[94]:.2f} s, p99 {cuts[98]:.2f} s, '
+        f'p50 {percentiles[49]:.2f} s, p95 {percentiles[94]:.2f} s, '
+        f'p99 {percentiles[98]:.2f} s, '
         f'longest {seconds[-1]:.2f} s',
     )
     print(f'CPU of all processes {used.ru_utime + used.ru_stime:.1f} s')
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""Cost of one routing decision as the number of endpoints grows."""
+"""CPU time of one routing decision by number of endpoints."""
 
 import pathlib
 import random
@@ -33,7 +33,7 @@
 __all__ = ['measure_decision']
 
 SIZES = (25, 575, 4600)
-_LENGTHS = (2_000, 40_000, 250_000)
+_PROMPT_TOKENS = (2_000, 40_000, 250_000)
 _ZONES = 8
 _ROUNDS = 7
 _DECISIONS = 300
@@ -47,7 +47,7 @@
     prompt_tokens: int,
     policy: Policy = Policy.PREDICTED,
 ) -> float:
-    """Return the median microseconds of a decision."""
+    """Return the median of several rounds, in microseconds."""
     table, snapshot = _create_table(endpoints, policy)
     generator = random.Random(1)
     request = Request(
@@ -101,11 +101,11 @@
 
 
 def main() -> None:
-    """Print a table of costs."""
+    """Print a row for each policy and prompt length."""
     sizes = ''.join(f'{size:>10}' for size in SIZES)
-    print(f'{"us a decision":>28}{sizes}')
+    print(f'{"us per decision":>28}{sizes}')
     for policy in (Policy.PREDICTED, Policy.LEAST_TOKENS):
-        for length in _LENGTHS:
+        for length in _PROMPT_TOKENS:
             costs = [measure_decision(n, length, policy) for n in SIZES]
             cells = ''.join(f'{cost:10.1f}' for cost in costs)
             print(f'{policy:>16}{length:>12}{cells}')
