--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,4 +1,4 @@
-"""What a flood from one workspace does to the others."""
+"""Effect of one workspace's overload on the latency of the others."""
 
 import asyncio
 import json
@@ -25,26 +25,32 @@
 
 
 def main(
-    others: Annotated[float, typer.Option(help='Load of the others.')] = 0.3,
-    flood: Annotated[float, typer.Option(help='Load of the flood.')] = 1.5,
+    others: Annotated[
+        float, typer.Option(help='Load of the others, share of capacity.')
+    ] = 0.3,
+    flood: Annotated[
+        float, typer.Option(help='Load of the flood, share of capacity.')
+    ] = 1.5,
     seconds: Annotated[float, typer.Option()] = 25.0,
     deadline: Annotated[float, typer.Option()] = 6.0,
     output: Annotated[pathlib.Path, typer.Option()] = _OUTPUT,
 ) -> None:
-    """Send the others' load alone, then beside a flood."""
+    """Send the others' load alone, then together with a flood."""
     plan = plan_site(
         _TIME_SCALE,
         _ENGINES,
         honours_priorities=True,
         interrupts=True,
     )
-    usual = Load(others, seconds, 1, deadline, repeated=0)
-    flooding = Load(flood, seconds, 2, deadline, repeated=0)
+    others_load = Load(others, seconds, 1, deadline, repeated=0)
+    flood_load = Load(flood, seconds, 2, deadline, repeated=0)
     with tempfile.TemporaryDirectory() as directory:
         with start_site(plan, pathlib.Path(directory)) as site:
             fleet = Fleet(site, _TIME_SCALE)
-            alone = fleet.send(usual)
-            beside, flooded = asyncio.run(_send_both(fleet, usual, flooding))
+            alone = fleet.send(others_load)
+            beside, flooded = asyncio.run(
+                _send_both(fleet, others_load, flood_load)
+            )
     figures = {
         'others alone': _summarize(alone),
         'others beside the flood': _summarize(beside),
@@ -57,21 +63,21 @@
 
 async def _send_both(
     fleet: Fleet,
-    usual: Load,
-    flooding: Load,
+    others_load: Load,
+    flood_load: Load,
 ) -> tuple[Report, Report]:
-    *rest, flooder = KEYS
+    *rest, flood_key = KEYS
     first, *more = rest
-    others = attrs.evolve(fleet.plan(usual), key=first, more_keys=more)
-    flood = attrs.evolve(fleet.plan(flooding), key=flooder, more_keys=[])
+    others = attrs.evolve(fleet.plan(others_load), key=first, more_keys=more)
+    flood = attrs.evolve(fleet.plan(flood_load), key=flood_key, more_keys=[])
     return await asyncio.gather(run_load(others, None), run_load(flood, None))
 
 
 def _summarize(report: Report) -> dict[str, object]:
     case = Case('', report.samples, report.samples, dict(report.outcomes))
     fields = case.to_fields()
-    kept = ('outcomes', 'short_mixed_p95', 'first_token_10k_p95')
-    return {name: fields[name] for name in kept}
+    names = ('outcomes', 'short_mixed_p95', 'first_token_10k_p95')
+    return {name: fields[name] for name in names}
 
 
 if __name__ == '__main__':
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""What a run of the bench measured: figures, table, plot and bounds."""
+"""Results of a benchmark run: figures, table, plot and bounds."""
 
 import pathlib
 from collections.abc import Iterable
@@ -17,14 +17,16 @@
 
 @attrs.define
 class Case:
-    """One policy under one load: answers alone and with long prompts.
+    """One policy under one load, without and with long prompts.
 
     Attributes
     ----------
     alone
-        Answers to short prompts while there were only short ones.
+        Answers to short prompts in rounds with short prompts only.
     mixed
-        Answers to all prompts.
+        Answers to all prompts in rounds with short and long ones.
+    dispatched
+        Attempts at engines in the mixed rounds.
     """
 
     policy: str
@@ -42,20 +44,20 @@
             self.outcomes[outcome] = self.outcomes.get(outcome, 0) + count
 
     def to_fields(self) -> dict[str, float | dict[str, int]]:
-        """Return every figure by its name, times in seconds."""
+        """Return the figures by name, times in seconds."""
         fields: dict[str, float | dict[str, int]] = {
             'outcomes': self.outcomes,
             'attempts': self.dispatched / sum(self.outcomes.values()),
         }
         for level in _LEVELS:
-            alone = _percentile(_short(self.alone), level)
-            mixed = _percentile(_short(self.mixed), level)
+            alone = _percentile(_select_short(self.alone), level)
+            mixed = _percentile(_select_short(self.mixed), level)
             fields[f'short_alone_p{level}'] = alone
             fields[f'short_mixed_p{level}'] = mixed
             fields[f'slowdown_p{level}'] = mixed / alone
             for name in CLASS_LIMITS:
                 fields[f'first_token_{name}_p{level}'] = _percentile(
-                    _of_class(self.mixed, name),
+                    _select_class(self.mixed, name),
                     level,
                 )
         return fields
@@ -63,9 +65,9 @@
 
 @attrs.frozen
 class Bound:
-    """A figure of one policy, as a ratio to that of another, and its limit.
+    """Limit of the ratio between one figure of two policies.
 
-    Ratios within one run do not depend on the machine's mood as times do.
+    Unlike times, ratios within one run hardly depend on the machine's load.
     """
 
     figure: str
@@ -74,13 +76,13 @@
     at_most: float
 
     def check(self, figures: dict[str, dict[str, float]]) -> str:
-        """Return the verdict, a line that begins with ok or FAILED."""
+        """Return a report line that begins with ``ok`` or ``FAILED``."""
         measured = figures[self.policy][self.figure]
         ratio = measured / figures[self.baseline][self.figure]
         verdict = 'ok' if ratio <= self.at_most else 'FAILED'
         return (
-            f'{verdict}: {self.figure} of {self.policy} is {ratio:.2f} of '
-            f'{self.baseline}, at most {self.at_most}'
+            f'{verdict}: {self.figure} of {self.policy} is {ratio:.2f} times '
+            f'that of {self.baseline}, at most {self.at_most}'
         )
 
 
@@ -89,7 +91,10 @@
     load: str,
     figures: dict[str, dict[str, float]],
 ) -> list[str]:
-    """Check the bounds that a file holds for a load."""
+    """Check the bounds of a load in a file; return a line for each.
+
+    Bounds of policies that were not measured are skipped.
+    """
     listed = yaml.safe_load(path.read_text()).get(load, [])
     bounds = [Bound(**fields) for fields in listed]
     return [
@@ -130,9 +135,9 @@
     for axes, names in groups:
         width = 0.8 / len(figures)
         for number, (policy, row) in enumerate(figures.items()):
-            places = [index + number * width for index in range(len(names))]
+            positions = [index + number * width for index in range(len(names))]
             heights = [row[name] for name in names]
-            axes.bar(places, heights, width, label=policy)
+            axes.bar(positions, heights, width, label=policy)
         axes.set_xticks(range(len(names)), names, rotation=15)
         axes.set_yscale('log')
     left.set_title('slowdown of short requests')
@@ -142,7 +147,7 @@
     plot.savefig(path)
 
 
-def _short(samples: Iterable[Sample]) -> list[float]:
+def _select_short(samples: Iterable[Sample]) -> list[float]:
     return [
         sample.seconds
         for sample in samples
@@ -150,7 +155,7 @@
     ]
 
 
-def _of_class(samples: Iterable[Sample], name: str) -> list[float]:
+def _select_class(samples: Iterable[Sample], name: str) -> list[float]:
     return [
         sample.seconds
         for sample in samples
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The site under the bench: its engines, their faults, its policy, its load."""
+"""The site under test: its engines, their faults, its policy and load."""
 
 import asyncio
 import math
@@ -27,30 +27,38 @@
     'example-key-crews-matara',
 )
 _ENGINES = 'report-lk'
-_ATTEMPTS = 'kelproad_attempts_total{'
-_RATE = 15_000.0
-_CHUNK = 4096
+_ATTEMPTS_METRIC = 'kelproad_attempts_total{'
+#: Prefill tokens per second of an engine.
+_PREFILL_RATE = 15_000.0
+#: Prompt tokens that an engine prefills in one pass.
+_CHUNK_TOKENS = 4096
+#: Seconds of decoding in each pass (one iteration of an engine's batch).
 _DECODE_SECONDS = 0.028
 _MEMORY_TOKENS = 400_000
-#: Over twice one engine's memory: such prompts are refused.
-_LONGEST = 900_000
-_SLOWNESS = 10.0
-_ADOPTION_SECONDS = 15.0
+#: Tokens of the longest prompts, more than twice the memory of an engine;
+#: prompts that exceed the memory are refused.
+_MAX_PROMPT_TOKENS = 900_000
+_SLOWDOWN_FACTOR = 10.0
+_ADOPTION_TIMEOUT = 15.0
 _SETTLE_SECONDS = 2.0
 _POLL_SECONDS = 0.2
-_PROBE_SECONDS = 600.0
+_SAMPLE_SECONDS = 600.0
 
 
 @attrs.frozen
 class Load:
-    """How much is sent.
+    """Load of one round.
 
     Attributes
     ----------
     share
-        Load, as a share of what the engines can do.
+        Offered load, as a share of the engines' capacity.
     seconds
-        Length of one round.
+        Length of the round.
+    deadline
+        Deadline of each request, in seconds.
+    repeated
+        Share of prompts that begin with a prefix shared with others.
     """
 
     share: float
@@ -62,7 +70,7 @@
 
 @attrs.define
 class Fleet:
-    """A running site with engines that run a number of times faster."""
+    """A running site with engines ``time_scale`` times as fast as real ones."""
 
     site: Site
     time_scale: float
@@ -73,7 +81,7 @@
         return [name for name in self.site.addresses if _ENGINES in name]
 
     def declare_priorities(self, honours: bool) -> None:
-        """Declare whether the engines schedule by priority."""
+        """Apply a declaration whether the engines schedule by priority."""
         path = self.site.files[1]
         content = yaml.safe_load(path.read_text())
         for group in content['endpoint_groups']:
@@ -82,7 +90,7 @@
         self.site.apply(path)
 
     def put_policy(self, policy: str, slowdown: float) -> None:
-        """Put a policy and the weight of slowdown in force everywhere."""
+        """Apply a policy and the weight of slowdown, and wait for adoption."""
         path = self.site.files[0]
         content = yaml.safe_load(path.read_text())
         content['deployment']['policy'] = policy
@@ -92,56 +100,56 @@
         }
         path.write_text(yaml.safe_dump(content, sort_keys=False))
         revision = self.site.apply(path)['revision']
-        limit = time.monotonic() + _ADOPTION_SECONDS
+        limit = time.monotonic() + _ADOPTION_TIMEOUT
         while time.monotonic() < limit:
-            if all(held >= revision for held in self._revisions()):
+            if all(held >= revision for held in self._read_revisions()):
                 return
             time.sleep(_POLL_SECONDS)
-        raise TimeoutError(f'{policy} is not in force everywhere')
+        raise TimeoutError(f'{policy} was not adopted by all instances')
 
     def send(self, load: Load, shorter_than: float = math.inf) -> Report:
-        """Send one round of load, and let the engines come to rest."""
+        """Send one round of load, then let the engines become idle."""
         report = asyncio.run(run_load(self.plan(load, shorter_than), None))
         time.sleep(_SETTLE_SECONDS)
         return report
 
     def plan(self, load: Load, shorter_than: float = math.inf) -> Plan:
-        """Plan a round at a share of what the engines can do."""
+        """Plan a round at a share of the engines' capacity."""
         first, *others = KEYS
-        unscaled = Plan(
+        sample_plan = Plan(
             servers=self.site.callers,
             key=first,
             model=MODEL,
-            seconds=_PROBE_SECONDS,
+            seconds=_SAMPLE_SECONDS,
             rate=1,
             seed=load.seed,
-            longest=_LONGEST,
+            longest=_MAX_PROMPT_TOKENS,
             deadline=load.deadline,
             more_keys=others,
             repeated=load.repeated,
         )
         return attrs.evolve(
-            unscaled,
+            sample_plan,
             seconds=load.seconds,
-            rate=load.share * self._measure_capacity(unscaled),
+            rate=load.share * self._measure_capacity(sample_plan),
             shorter_than=shorter_than,
         )
 
     def bring_about(self, fault: str) -> None:
-        """Bring a fault about: one engine slow, a third refusing, or none."""
+        """Set a fault: ``slow`` for one engine, ``third`` refusing, or none."""
         if fault == 'slow':
-            self._set_fault(self.engines[:1], slowness=_SLOWNESS)
+            self._set_fault(self.engines[:1], slowness=_SLOWDOWN_FACTOR)
         elif fault == 'third':
             failing = math.ceil(len(self.engines) / 3)
             self._set_fault(self.engines[:failing], refuse=True)
 
     def count_attempts(self) -> int:
-        """Count all dispatches that the instances made, refused ones too."""
+        """Count the attempts of all instances, including refused ones."""
         return sum(
             round(float(line.rsplit(' ', 1)[-1]))
             for instance in self.site.instances
             for line in _read_metrics(instance.caller)
-            if line.startswith(_ATTEMPTS)
+            if line.startswith(_ATTEMPTS_METRIC)
         )
 
     def _set_fault(self, engines: list[str], **faults: object) -> None:
@@ -149,20 +157,20 @@
             self.site.set_faults(self.site.addresses[name], **faults)
 
     def _measure_capacity(self, plan: Plan) -> float:
-        """Work out the requests a second that keep all engines busy.
+        """Estimate the requests per second that saturate all engines.
 
-        The cached part of repeated prompts counts as if it were computed.
+        Cached prefixes of repeated prompts count as if they were prefilled.
         """
         costs = [
-            _cost(arrival.prompt_tokens)
+            _estimate_seconds(arrival.prompt_tokens)
             for arrival in draw_arrivals(plan)
             if arrival.prompt_tokens < _MEMORY_TOKENS
         ]
-        share_served = len(costs) / (_PROBE_SECONDS * plan.rate)
+        share_served = len(costs) / (_SAMPLE_SECONDS * plan.rate)
         mean = sum(costs) / len(costs) / self.time_scale
         return len(self.engines) / mean / share_served
 
-    def _revisions(self) -> list[int]:
+    def _read_revisions(self) -> list[int]:
         return [
             self.site.control(instance.operator, 'GET', '/operator/dump')[
                 'revision'
@@ -183,7 +191,7 @@
     honours_priorities: bool,
     interrupts: bool,
 ) -> SitePlan:
-    """Plan the site: one instance a zone before some engines."""
+    """Plan a site with one instance per zone and ``engines`` in a group."""
     return SitePlan(
         example=REPOSITORY / 'examples' / 'roadgrip',
         endpoints_per_group=engines,
@@ -195,7 +203,7 @@
     )
 
 
-def _cost(prompt_tokens: int) -> float:
-    """Return an engine's seconds for a prompt, decoding along included."""
-    steps = math.ceil(prompt_tokens / _CHUNK)
-    return prompt_tokens / _RATE + steps * _DECODE_SECONDS
+def _estimate_seconds(prompt_tokens: int) -> float:
+    """Return an engine's seconds for a prompt, with concurrent decoding."""
+    steps = math.ceil(prompt_tokens / _CHUNK_TOKENS)
+    return prompt_tokens / _PREFILL_RATE + steps * _DECODE_SECONDS
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,8 @@
-"""Goodput just below and above what the engines can do.
+"""Goodput just below and above the engines' capacity.
 
-Goodput counts the prompt tokens of requests that were answered whole within
-their deadline; a system without admission spends its engines on requests that
-then come too late.
+Goodput counts the prompt tokens of requests that were answered completely
+within their deadline; a system without admission control spends its engines on
+requests that then miss the deadline.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Goodput:
-    """What was answered in time at a load."""
+    """Goodput and outcomes at one load, a share of capacity."""
 
     share: float
     sent: int
@@ -37,13 +37,15 @@
 
 
 def main(
-    seconds: Annotated[float, typer.Option(help='Of one round.')] = 40.0,
-    deadline: Annotated[float, typer.Option(help='Of a request.')] = 8.0,
+    seconds: Annotated[float, typer.Option(help='Length of a round.')] = 40.0,
+    deadline: Annotated[
+        float, typer.Option(help='Deadline of a request, s.')
+    ] = 8.0,
     engines: Annotated[int, typer.Option()] = 6,
     time_scale: Annotated[float, typer.Option()] = 4.0,
     output: Annotated[pathlib.Path, typer.Option()] = _OUTPUT,
 ) -> None:
-    """Measure goodput at 95% and 120% of what the engines can do."""
+    """Measure goodput at 95% and 120% of the engines' capacity."""
     plan = plan_site(
         time_scale,
         engines,
@@ -54,8 +56,9 @@
     with tempfile.TemporaryDirectory() as directory:
         with start_site(plan, pathlib.Path(directory)) as site:
             fleet = Fleet(site, time_scale)
-            # Rates are learned first.  No prompt repeats, so that no cached
-            # prefix makes the load lower than it says.
+            # A first round lets the instances learn the engines' rates.  In
+            # measured rounds no prompt repeats, as cached prefixes would
+            # lower the load.
             fleet.send(Load(_SHARES[0] / 2, seconds / 4))
             for share in _SHARES:
                 load = Load(share, seconds, 1, deadline, repeated=0)
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,7 +1,7 @@
-"""The bench of policies: one site, the policies in turn, ratios checked.
+"""Benchmark of the routing policies on one site, with bounds on ratios.
 
-Every policy meets the same arrivals, in short rounds that alternate, so that
-the machine's mood falls on all of them alike.
+All policies get the same arrivals in short alternating rounds, so that changes
+in the load of the machine affect all of them alike.
 """
 
 import json
@@ -27,18 +27,22 @@
 from testbed.site import start_site  # noqa: E402
 
 BOUNDS = REPOSITORY / 'bench' / 'bounds.yaml'
-_ALL = 'round_robin,least_requests,least_tokens,predicted'
-_ROADGRIP_WEIGHT = 0.7
+_ALL_POLICIES = 'round_robin,least_requests,least_tokens,predicted'
+_DEFAULT_WEIGHT = 0.7
 _OUTPUT = pathlib.Path('build/bench')
 
 
 def main(
     policy: Annotated[
         str,
-        typer.Option(help='Joined by commas, each with :WEIGHT of slowdown.'),
-    ] = _ALL,
-    share: Annotated[float, typer.Option(help='Load on the engines.')] = 0.8,
-    seconds: Annotated[float, typer.Option(help='Of one round.')] = 20.0,
+        typer.Option(
+            help='Comma-separated, each with an optional :WEIGHT of slowdown.'
+        ),
+    ] = _ALL_POLICIES,
+    share: Annotated[
+        float, typer.Option(help='Load, share of capacity.')
+    ] = 0.8,
+    seconds: Annotated[float, typer.Option(help='Length of a round.')] = 20.0,
     rounds: Annotated[int, typer.Option()] = 2,
     engines: Annotated[int, typer.Option()] = 6,
     time_scale: Annotated[float, typer.Option()] = 4.0,
@@ -47,7 +51,7 @@
     fault: Annotated[str, typer.Option(help='none, slow or third.')] = 'none',
     output: Annotated[pathlib.Path, typer.Option()] = _OUTPUT,
 ) -> None:
-    """Run the bench, write result.json and plot.png, check the bounds."""
+    """Run, write result.json and plot.png, and check the bounds."""
     plan = plan_site(time_scale, engines, priorities, interrupts)
     cases = {name: Case(name) for name in policy.split(',')}
     with tempfile.TemporaryDirectory() as directory:
@@ -73,7 +77,7 @@
 
 def _run_round(fleet: Fleet, case: Case, load: Load) -> None:
     policy, _, slowdown = case.policy.partition(':')
-    fleet.put_policy(policy, float(slowdown or _ROADGRIP_WEIGHT))
+    fleet.put_policy(policy, float(slowdown or _DEFAULT_WEIGHT))
     alone = fleet.send(load, SHORT_TOKENS)
     before = fleet.count_attempts()
     mixed = fleet.send(load)
