--- a/bench/slopes_detection.py
+++ b/bench/slopes_detection.py
@@ -1,7 +1,7 @@
-"""Detection time and false removals, on a simulated clock and a lossy network.
+"""Detection time and false removals with a virtual clock and a lossy network.
 
-A twentieth of the messages is lost, another twentieth doubled, and each is
-late by up to 0.3 s.  After two quiet minutes a third of the members is killed.
+5% of the messages are lost, 5% duplicated, and each is delayed by up to 0.3 s.
+After two minutes without failures a third of the members is killed.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 _JOIN_SECONDS = 10
 _QUIET_SECONDS = 120
 _STEP = 0.25
-_KILLED_OF = 3
+_KILLED_DIVISOR = 3
 
 Pair = tuple[str, str]
 
 
 def measure_detection(sizes: list[int]) -> list[Row]:
-    """Measure at several numbers of members in three zones."""
+    """Measure with several numbers of members in three zones."""
     return [row for size in sizes for row in asyncio.run(_measure(size))]
 
 
@@ -38,19 +38,39 @@
         await site.run(_STEP)
         false_removals += site.count_missing()
     sent = (_count_bytes(site) - sent_before) / size / _QUIET_SECONDS
-    chosen = random.Random(_SEED).sample(site.running(), size // _KILLED_OF)
-    for member in chosen:
+    killed = random.Random(_SEED).sample(
+        site.running(), size // _KILLED_DIVISOR
+    )
+    for member in killed:
         member.running = False
-    near, far = await _watch_removals(site, chosen)
+    same_zone, other_zones = await _watch_removals(site, killed)
     return [
         Row('detection', size, 'false removals in 120 s', false_removals),
-        Row('detection', size, 'bytes sent a second a member', sent),
+        Row('detection', size, 'bytes sent per second and member', sent),
         Row(
-            'detection', size, 's to detect in the zone, median', _middle(near)
+            'detection',
+            size,
+            's to detect in the same zone, median',
+            _median(same_zone),
+        ),
+        Row(
+            'detection',
+            size,
+            's to detect in the same zone, maximum',
+            max(same_zone),
+        ),
+        Row(
+            'detection',
+            size,
+            's to detect in other zones, median',
+            _median(other_zones),
+        ),
+        Row(
+            'detection',
+            size,
+            's to detect in other zones, maximum',
+            max(other_zones),
         ),
-        Row('detection', size, 's to detect in the zone, longest', max(near)),
-        Row('detection', size, 's to detect elsewhere, median', _middle(far)),
-        Row('detection', size, 's to detect elsewhere, longest', max(far)),
     ]
 
 
@@ -58,32 +78,34 @@
     site: MemberSite,
     killed: list[SimulatedMember],
 ) -> tuple[list[float], list[float]]:
-    """Return the seconds until each running member missed each killed one."""
-    began = site.now
+    """Return the seconds to each removal, in the same and other zones."""
+    started_at = site.now
     zones = {member.name: member.zone for member in site.members.values()}
-    waiting: set[Pair] = {
+    undetected: set[Pair] = {
         (member.name, dead.name) for member in site.running() for dead in killed
     }
-    near: list[float] = []
-    far: list[float] = []
-    limit = began + REMOVE_AFTER * 10
-    while waiting and site.now < limit:
+    same_zone: list[float] = []
+    other_zones: list[float] = []
+    limit = started_at + REMOVE_AFTER * 10
+    while undetected and site.now < limit:
         await site.run(_STEP)
-        seen = {
+        live = {
             (member.name, name)
             for member in site.running()
             for name in site.see(member)
         }
-        for pair in waiting - seen:
-            is_near = zones[pair[0]] == zones[pair[1]]
-            (near if is_near else far).append(site.now - began)
-        waiting &= seen
-    return near, far
+        for pair in undetected - live:
+            is_same_zone = zones[pair[0]] == zones[pair[1]]
+            (same_zone if is_same_zone else other_zones).append(
+                site.now - started_at
+            )
+        undetected &= live
+    return same_zone, other_zones
 
 
 def _count_bytes(site: MemberSite) -> int:
     return sum(member.sent_bytes for member in site.members.values())
 
 
-def _middle(seconds: list[float]) -> float:
+def _median(seconds: list[float]) -> float:
     return sorted(seconds)[len(seconds) // 2]
--- a/bench/slopes_gossip.py
+++ b/bench/slopes_gossip.py
@@ -1,7 +1,6 @@
-"""Choosing peers and packing records, with the table of members at full size.
+"""CPU time of gossip rounds and memory of the table, by number of members.
 
-No message is sent; it shows how a round's processor time and the memory grow
-with the number of members known.
+Each round chooses peers and packs records for them; no message is sent.
 """
 
 import random
@@ -16,14 +15,15 @@
 __all__ = ['measure_gossip']
 
 _ZONES = 8
-_REPORTS = 11
+_REPORTS_PER_MEMBER = 11
 _ROUNDS = 40
-_ROOM = 700
+#: Bytes available for records in a message.
+_RECORD_BUDGET = 700
 _INCARNATION = 1_764_720_000_000_000_000
 
 
 def measure_gossip(sizes: list[int]) -> list[Row]:
-    """Measure rounds without sending at several numbers of members."""
+    """Measure rounds without sending, with several numbers of members."""
     return [row for size in sizes for row in _measure(size)]
 
 
@@ -35,22 +35,29 @@
         table.merge(_create_member(index, 1, generator), 0)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    own = _create_member(0, 1, generator)
-    place = Location(own.name, own.zone, '', own.peer_address)
-    gossiper = Gossiper(place, table, generator)
+    local_member = _create_member(0, 1, generator)
+    location = Location(
+        local_member.name, local_member.zone, '', local_member.peer_address
+    )
+    gossiper = Gossiper(location, table, generator)
     seconds = float(0)
     for number in range(_ROUNDS):
         now = number * PERIOD
-        for heard in range(1, size):
-            table.merge(_create_member(heard, number + 2, generator), now)
+        for index in range(1, size):
+            table.merge(_create_member(index, number + 2, generator), now)
         started = time.process_time()
         for address in gossiper.choose_targets(now, {}):
-            gossiper.pack(address, own, now, _ROOM)
+            gossiper.pack(address, local_member, now, _RECORD_BUDGET)
         seconds += time.process_time() - started
-    core = 100 * seconds / (_ROUNDS * PERIOD)
+    cpu_percent = 100 * seconds / (_ROUNDS * PERIOD)
     return [
-        Row('gossip', size, '% of a core, choosing and packing', core),
-        Row('gossip', size, 'bytes a member with its load', held / size),
+        Row(
+            'gossip',
+            size,
+            '% of a core, choosing and packing',
+            cpu_percent,
+        ),
+        Row('gossip', size, 'bytes per member with its load', held / size),
     ]
 
 
@@ -61,7 +68,7 @@
 ) -> Member:
     reports = [
         EndpointReport(
-            f'engine-{index * _REPORTS + number}',
+            f'engine-{index * _REPORTS_PER_MEMBER + number}',
             str(_INCARNATION + index),
             waiting_tokens=generator.randrange(100_000),
             running=20,
@@ -69,7 +76,7 @@
             models=['model-1'],
             age=0.1,
         )
-        for number in range(_REPORTS)
+        for number in range(_REPORTS_PER_MEMBER)
     ]
     return Member(
         f'zone-{index % _ZONES}-{index}',
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -1,8 +1,8 @@
-"""Membership at several sizes: bytes, messages and processor time a member.
+"""Membership traffic and CPU time per member, by number of members.
 
 All members run in one process, each with its own pynng sockets on loopback,
-in three availability zones.  Each watches four engines a member and has work
-in flight, so that the messages are as full as in service.
+in three availability zones.  Each reads its share of the engines and has work
+in flight, so that the messages are as large as in production.
 """
 
 import asyncio
@@ -35,29 +35,29 @@
 __all__ = ['measure_members']
 
 _ZONES = 3
-_ENGINES_A_MEMBER = 11
-_SETTLE = 3.0
-_WINDOW = 8.0
+_ENGINES_PER_MEMBER = 11
+_SETTLE_SECONDS = 3.0
+_MEASURED_SECONDS = 8.0
 _PERCENTILE = 0.95
 
 
-class _Listed(PlatformClient):
-    """A platform client whose list is at hand, without any call."""
+class _FixedPlatform(PlatformClient):
+    """Platform client with a fixed list of instances, without any call."""
 
     def __init__(self, listing: Listing) -> None:
-        """Keep the list that every member gets."""
+        """Set the list that all members receive."""
         self._listing = listing
 
     async def list_instances(self, timeout: float) -> Result[Listing, object]:
-        """Return the list."""
+        """Return the fixed list."""
         return Success(self._listing)
 
 
-class _Watched:
-    """One member with its counters."""
+class _MeasuredMember:
+    """One member with its tables and counters."""
 
     def __init__(self, listed: ListedInstance, listing: Listing) -> None:
-        """Build the parts that membership needs."""
+        """Create the member, not yet started."""
         self.zone = listed.zone
         self._index = listing.instances.index(listed)
         self._size = len(listing.instances)
@@ -74,7 +74,7 @@
             peer_key='a-shared-key-of-the-slopes',
             operator_digests={},
         )
-        platform = _Listed(listing)
+        platform = _FixedPlatform(listing)
         holder = SnapshotHolder()
         holder.adopt(_declare(len(listing.instances)))
         self.table.apply_snapshot(holder.current)
@@ -99,15 +99,15 @@
         )
 
     def sent_bytes(self) -> float:
-        """Bytes sent so far."""
+        """Bytes sent to peers so far."""
         return self.counters.peer_bytes.get({'direction': 'sent'})
 
     def sent_messages(self) -> float:
-        """Messages sent so far."""
+        """Messages sent to peers so far."""
         return self.counters.peer_messages.get({'direction': 'sent'})
 
-    def load(self, generator: random.Random) -> None:
-        """Read the engines of this member's share, all with fresh work."""
+    def update_reports(self, generator: random.Random) -> None:
+        """Record new reports of this member's engines, with random work."""
         now = monotonic()
         for number, endpoint in enumerate(self.table.all().values()):
             if number % self._size != self._index:
@@ -125,7 +125,7 @@
 
 
 def measure_members(sizes: list[int]) -> list[Row]:
-    """Measure the exchange between members at several numbers of them."""
+    """Measure the messages between members, with several numbers of them."""
     return [row for size in sizes for row in asyncio.run(_measure(size))]
 
 
@@ -140,63 +140,69 @@
             for number in range(size)
         ],
     )
-    watched = [_Watched(listed, listing) for listed in listing.instances]
-    for member in watched:
+    measured = [
+        _MeasuredMember(listed, listing) for listed in listing.instances
+    ]
+    for member in measured:
         await member.service.start()
-    loading = asyncio.create_task(_load(watched))
-    await asyncio.sleep(_SETTLE)
-    bytes_before = sum(member.sent_bytes() for member in watched)
-    messages_before = sum(member.sent_messages() for member in watched)
+    loading = asyncio.create_task(_update_reports(measured))
+    await asyncio.sleep(_SETTLE_SECONDS)
+    bytes_before = sum(member.sent_bytes() for member in measured)
+    messages_before = sum(member.sent_messages() for member in measured)
     cpu_before = time.process_time()
     started = time.monotonic()
-    await asyncio.sleep(_WINDOW)
+    await asyncio.sleep(_MEASURED_SECONDS)
     seconds = (time.monotonic() - started) * size
     cpu = time.process_time() - cpu_before
-    sent = sum(member.sent_bytes() for member in watched) - bytes_before
-    messages = sum(item.sent_messages() for item in watched) - messages_before
+    sent = sum(member.sent_bytes() for member in measured) - bytes_before
+    messages = sum(item.sent_messages() for item in measured) - messages_before
     now = monotonic()
-    seen = min(len(member.members.live(now)) for member in watched)
-    near, far = _measure_ages(watched, now)
+    live = min(len(member.members.live(now)) for member in measured)
+    local, remote = _measure_ages(measured, now)
     loading.cancel()
-    for member in watched:
+    for member in measured:
         await member.service.stop()
     return [
-        Row('members', size, 'others seen live, at the least', seen),
-        Row('members', size, 'bytes sent a second a member', sent / seconds),
+        Row('members', size, 'other members live, minimum', live),
+        Row(
+            'members', size, 'bytes sent per second and member', sent / seconds
+        ),
         Row(
             'members',
             size,
-            'messages sent a second a member',
+            'messages sent per second and member',
             messages / seconds,
         ),
-        Row('members', size, '% of a core a member', 100 * cpu / seconds),
-        Row('members', size, 's old, reports of the own zone, p95', near),
-        Row('members', size, 's old, reports of other zones, p95', far),
+        Row('members', size, '% of a core per member', 100 * cpu / seconds),
+        Row('members', size, 's of age, reports of the local zone, p95', local),
+        Row('members', size, 's of age, reports of other zones, p95', remote),
     ]
 
 
-def _measure_ages(watched: list[_Watched], now: float) -> tuple[float, float]:
-    """Return the 95th percentile of the reports' age, own zone and others."""
-    near, far = [], []
-    for member in watched:
+def _measure_ages(
+    measured: list[_MeasuredMember], now: float
+) -> tuple[float, float]:
+    """Return the 95th percentile of report age, local and other zones."""
+    local, remote = [], []
+    for member in measured:
         for endpoint in member.table.all().values():
             if endpoint.read_locally:
                 continue
-            is_near = endpoint.declaration.zone == member.zone
-            ages = near if is_near else far
+            is_local = endpoint.declaration.zone == member.zone
+            ages = local if is_local else remote
             ages.append(now - endpoint.reported_at)
-    return _take_percentile(near), _take_percentile(far)
+    return _compute_percentile(local), _compute_percentile(remote)
 
 
-def _take_percentile(ages: list[float]) -> float:
+def _compute_percentile(ages: list[float]) -> float:
     return sorted(ages)[int(len(ages) * _PERCENTILE)] if ages else 0
 
 
-async def _load(watched: list[_Watched]) -> None:
+async def _update_reports(measured: list[_MeasuredMember]) -> None:
     generator = random.Random(1)
     while True:
-        for member in watched:
-            member.load(generator)
+        for member in measured:
+            member.update_reports(generator)
         await asyncio.sleep(1)
 
 
@@ -207,7 +213,7 @@
             f'zone-{number % _ZONES}',
             '10.0.0.1:8000',
         )
-        for number in range(size * _ENGINES_A_MEMBER)
+        for number in range(size * _ENGINES_PER_MEMBER)
     ]
     group = EndpointGroup('engines', EndpointKind.ENGINE, endpoints)
     content = FileContent('endpoints', endpoint_groups=[group])
--- a/bench/slopes_source.py
+++ b/bench/slopes_source.py
@@ -1,9 +1,8 @@
-"""A source of token streams, and a bare relay in front of it.
+"""A source of token streams, and a minimal relay in front of it.
 
-Both are processes that the slopes start: the source speaks the engines'
-protocol at a steady pace without computing anything, and the relay copies
-bytes with aiohttp and does nothing else, as the yardstick of the instance's
-own relay.
+Both run as processes of the stream benchmark.  The source implements the
+engines' protocol and sends tokens at a fixed interval; the relay only copies
+bytes with aiohttp, as the baseline for an instance.
 """
 
 import argparse
@@ -26,7 +25,7 @@
 
 
 def create_source(interval: float, seconds: float) -> web.Application:
-    """Build an engine whose streams give a token every ``interval``."""
+    """Build an engine that streams a token every ``interval`` seconds."""
 
     async def stream(http_request: web.Request) -> web.StreamResponse:
         attempt = http_request.headers.get('X-Attempt-Id', 'none')
@@ -41,8 +40,8 @@
             except ConnectionError:
                 return response
             await asyncio.sleep(interval)
-        last = f'id: {attempt}.{count}\ndata: [DONE]\n\n'
-        await response.write(last.encode())
+        final_event = f'id: {attempt}.{count}\ndata: [DONE]\n\n'
+        await response.write(final_event.encode())
         return response
 
     async def show_load(_http_request: web.Request) -> web.Response:
@@ -65,7 +64,7 @@
 
 
 def create_relay(target: str) -> web.Application:
-    """Build a relay that copies each chunk as it arrives."""
+    """Build a relay to ``target`` that copies each chunk as it arrives."""
     sessions: list[aiohttp.ClientSession] = []
 
     async def relay(http_request: web.Request) -> web.StreamResponse:
--- a/bench/slopes_streams.py
+++ b/bench/slopes_streams.py
@@ -1,8 +1,8 @@
-"""Streams through a real instance: processor time and memory a stream.
+"""Streams through a real instance: CPU time per token, memory per stream.
 
-The yardstick is a bare aiohttp relay before the same source in the same run,
-so that the ratio holds on any machine.  The same site, before any stream,
-gives the figures of an idle instance.
+The baseline is a minimal aiohttp relay in front of the same source in the same
+run, so that the ratio is comparable between machines.  An instance without
+streams gives the idle figures.
 """
 
 import asyncio
@@ -34,9 +34,9 @@
 
 _KEY = 'key-of-the-slopes'
 _TOKENS_PER_SECOND = 1500
-_FASTEST = 0.028
-_WINDOW = 5.0
-_SETTLE = 1.0
+_MIN_INTERVAL = 0.028
+_MEASURED_SECONDS = 5.0
+_SETTLE_SECONDS = 1.0
 _IDLE_SECONDS = 10.0
 _WIDTH = 46
 _REPOSITORY = pathlib.Path(__file__).resolve().parent.parent
@@ -45,7 +45,7 @@
 @attrs.define
 class _Tally:
     tokens: int = 0
-    first: int = 0
+    opened: int = 0
 
 
 @contextlib.contextmanager
@@ -53,7 +53,7 @@
     source: str,
     endpoints: int = 1,
 ) -> Iterator[tuple[str, Process, str]]:
-    """Run platform and one instance; give caller address, process, store."""
+    """Run platform and instance; yield caller address, process, platform."""
     platform = find_free_address()
     caller, operator, peer = (find_free_address() for _ in range(3))
     with tempfile.TemporaryDirectory() as name:
@@ -150,8 +150,8 @@
 
 
 @contextlib.contextmanager
-def _run_helper(role: str, *options: str) -> Iterator[tuple[str, int]]:
-    """Run the source or the relay; give its address and process id."""
+def _run_bench_process(role: str, *options: str) -> Iterator[tuple[str, int]]:
+    """Run the source or the relay; yield its address and process ID."""
     address = find_free_address()
     port = address.rpartition(':')[2]
     process = subprocess.Popen(
@@ -207,7 +207,7 @@
         headers={'Authorization': f'Bearer {_KEY}'},
     ) as response:
         response.raise_for_status()
-        tally.first += 1
+        tally.opened += 1
         async for chunk in response.content.iter_any():
             tally.tokens += chunk.count(b'data: {')
 
@@ -217,7 +217,7 @@
     streams: int,
     pid: int,
 ) -> tuple[float, int, int]:
-    """Return CPU seconds a token, memory with streams, and open streams."""
+    """Return CPU seconds per token, resident bytes, and open streams."""
     tally = _Tally()
     async with create_session() as session:
         tasks = [
@@ -225,26 +225,26 @@
             for _ in range(streams)
         ]
         limit = time.monotonic() + 30
-        while tally.first < streams and time.monotonic() < limit:
+        while tally.opened < streams and time.monotonic() < limit:
             await asyncio.sleep(0.05)
-        await asyncio.sleep(_SETTLE)
-        before, counted = read_usage(pid), tally.tokens
-        await asyncio.sleep(_WINDOW)
-        after, total = read_usage(pid), tally.tokens
+        await asyncio.sleep(_SETTLE_SECONDS)
+        before, tokens_before = read_usage(pid), tally.tokens
+        await asyncio.sleep(_MEASURED_SECONDS)
+        after, tokens_after = read_usage(pid), tally.tokens
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    tokens = max(1, total - counted)
-    return (after.cpu - before.cpu) / tokens, after.resident, tally.first
+    tokens = max(1, tokens_after - tokens_before)
+    return (after.cpu - before.cpu) / tokens, after.resident, tally.opened
 
 
 def measure_idle(sizes: list[int]) -> list[Row]:
-    """Measure an instance without callers that watches some engines."""
+    """Measure an instance without callers that polls ``sizes`` engines."""
     return [row for size in sizes for row in _measure_idle(size)]
 
 
 def _measure_idle(size: int) -> list[Row]:
-    with _run_helper('source', '--hosts', str(size)) as (source, _):
+    with _run_bench_process('source', '--hosts', str(size)) as (source, _):
         with _run_instance(source, size) as (_, process, platform):
             time.sleep(2)
             before = read_usage(process.pid)
@@ -265,37 +265,39 @@
 
 
 def measure_streams(sizes: list[int]) -> list[Row]:
-    """Measure the relay at several numbers of open streams."""
+    """Measure an instance and the relay with several numbers of streams."""
     return [row for size in sizes for row in _measure_size(size)]
 
 
 def _measure_size(size: int) -> list[Row]:
-    interval = max(_FASTEST, size / _TOKENS_PER_SECOND)
+    interval = max(_MIN_INTERVAL, size / _TOKENS_PER_SECOND)
     pace = ('--interval', str(interval), '--seconds', '60')
-    with _run_helper('source', *pace) as (source, _):
-        with _run_helper('relay', '--target', source) as (bare, pid):
+    with _run_bench_process('source', *pace) as (source, _):
+        with _run_bench_process('relay', '--target', source) as (bare, pid):
             idle = read_usage(pid).resident
             base, base_memory, _ = asyncio.run(_count_tokens(bare, size, pid))
         with _run_instance(source) as (caller, process, _):
-            own_idle = read_usage(process.pid).resident
-            own, memory, opened = asyncio.run(
+            instance_idle = read_usage(process.pid).resident
+            instance_cpu, memory, opened = asyncio.run(
                 _count_tokens(caller, size, process.pid),
             )
     return [
         Row('streams', size, 'open at the same time', opened),
-        Row('streams', size, 'bare relay, us of CPU a token', base * 1e6),
-        Row('streams', size, 'instance, us of CPU a token', own * 1e6),
-        Row('streams', size, 'instance / bare relay', own / base),
+        Row('streams', size, 'bare relay, us of CPU per token', base * 1e6),
+        Row(
+            'streams', size, 'instance, us of CPU per token', instance_cpu * 1e6
+        ),
+        Row('streams', size, 'instance / bare relay', instance_cpu / base),
         Row(
             'streams',
             size,
-            'bare relay, KB a stream',
+            'bare relay, KB per stream',
             (base_memory - idle) / size / 1e3,
         ),
         Row(
             'streams',
             size,
-            'instance, KB a stream',
-            (memory - own_idle) / size / 1e3,
+            'instance, KB per stream',
+            (memory - instance_idle) / size / 1e3,
         ),
     ]
--- a/bench/slopes_tables.py
+++ b/bench/slopes_tables.py
@@ -1,4 +1,4 @@
-"""Tables at full size: memory an entry, processor time a decision."""
+"""Memory per table entry, and CPU time per decision and change."""
 
 import asyncio
 import hashlib
@@ -38,7 +38,7 @@
 
 
 def measure_endpoints(sizes: list[int]) -> list[Row]:
-    """Measure the endpoint table and a routing decision over it."""
+    """Measure memory of the endpoint table and CPU time of a decision."""
     return [row for size in sizes for row in _measure_endpoints(size)]
 
 
@@ -50,7 +50,7 @@
     request = _create_request(snapshot)
     generator = random.Random(size)
     assert choose_endpoint(request, table, 'zone-0', 10, generator).unwrap()
-    seconds = _time(
+    seconds = _measure_cpu(
         lambda: choose_endpoint(
             request,
             table,
@@ -63,27 +63,27 @@
         Row(
             'endpoints',
             size,
-            'bytes an entry, with its report',
+            'bytes per entry, with its report',
             held / size,
         ),
-        Row('endpoints', size, 'us of CPU a routing decision', seconds * 1e6),
+        Row('endpoints', size, 'us of CPU per routing decision', seconds * 1e6),
     ]
 
 
 def measure_workspaces(sizes: list[int]) -> list[Row]:
-    """Measure the snapshot and what one change of it takes."""
+    """Measure memory of the snapshot, and the cost of one change."""
     return [row for size in sizes for row in _measure_workspaces(size)]
 
 
 def _measure_workspaces(size: int) -> list[Row]:
-    texts = [_write_workspace(number) for number in range(size)]
+    texts = [_build_workspace_text(number) for number in range(size)]
     files, held = _measure_memory(lambda: _build_files(texts))
     started = time.process_time()
     _build_files(texts)
     parsing = (time.process_time() - started) / size
     snapshot = extend_snapshot(Snapshot.empty(), files, size)
     changed = files[0]
-    newer = AppliedFile(
+    changed_file = AppliedFile(
         changed.name,
         2,
         size + 1,
@@ -91,32 +91,34 @@
         changed.text,
         changed.content,
     )
-    seconds = _time(lambda: extend_snapshot(snapshot, [newer], size + 1))
+    seconds = _measure_cpu(
+        lambda: extend_snapshot(snapshot, [changed_file], size + 1)
+    )
     return [
         Row(
             'workspaces',
             size,
-            'bytes of the snapshot a workspace',
+            'bytes of the snapshot per workspace',
             held / size,
         ),
         Row('workspaces', size, 'ms of CPU to parse a file', parsing * 1e3),
         Row(
             'workspaces',
             size,
-            'ms of CPU to lay one change over',
+            'ms of CPU to apply one change',
             seconds * 1e3,
         ),
         Row(
             'workspaces',
             size,
             'bytes of one change to a peer',
-            _weigh([newer]),
+            _measure_message([changed_file]),
         ),
         Row(
             'workspaces',
             size,
-            'bytes of the whole to a peer',
-            _weigh(files),
+            'bytes of all files to a peer',
+            _measure_message(files),
         ),
     ]
 
@@ -176,7 +178,7 @@
     )
 
 
-def _write_workspace(number: int) -> str:
+def _build_workspace_text(number: int) -> str:
     digest = hashlib.sha256(str(number).encode()).hexdigest()
     workspace = {
         'name': f'workspace-{number}',
@@ -206,7 +208,7 @@
     ]
 
 
-def _weigh(files: list[AppliedFile]) -> int:
+def _measure_message(files: list[AppliedFile]) -> int:
     changes = [
         FileChange(
             item.name,
@@ -228,8 +230,8 @@
     return built, held
 
 
-def _time(act: Callable[[], object]) -> float:
+def _measure_cpu(action: Callable[[], object]) -> float:
     started = time.process_time()
     for _ in range(_REPEATS):
-        act()
+        action()
     return (time.process_time() - started) / _REPEATS
--- a/bench/slopes_usage.py
+++ b/bench/slopes_usage.py
@@ -1,4 +1,4 @@
-"""What a process uses, as the kernel counts it."""
+"""CPU time and memory of a process, from ``/proc``."""
 
 import os
 import pathlib
@@ -14,15 +14,15 @@
 
 @attrs.frozen
 class Usage:
-    """Processor time and memory of a process so far.
+    """CPU time and memory of a process so far.
 
     Attributes
     ----------
     cpu
         Seconds of user and system time.
     resident, private
-        Bytes resident, and bytes that no other process has (what the kernel
-        would get back if it ended).
+        Bytes resident, and bytes not shared with other processes (which would
+        be freed if it exited).
     """
 
     cpu: float
@@ -40,7 +40,7 @@
     measured: float
 
     def __str__(self) -> str:
-        """Format it as one line of the table."""
+        """Format as a table line."""
         return (
             f'{self.part:<12}{self.size:>7}  {self.figure:<46}'
             f'{self.measured:>12,.4g}'
@@ -48,7 +48,13 @@
 
 
 def read_usage(pid: int) -> Usage:
-    """Read what a process has used so far."""
+    """Read the usage of a running process.
+
+    Raises
+    ------
+    OSError
+        If there is no such process.
+    """
     stat = pathlib.Path(f'/proc/{pid}/stat').read_text()
     fields = stat.rpartition(')')[2].split()
     user, system = fields[_UTIME_FIELD : _UTIME_FIELD + 2]
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,6 +1,6 @@
-"""The demo: a whole site on loopback under a mixed load, then its results.
+"""Demo: a complete site on loopback under a mixed load, then its results.
 
-``demo/run.py lagosta`` takes the other user's example in place of Roadgrip's.
+``demo/run.py lagosta`` runs the Lagosta example instead of Roadgrip's.
 """
 
 import os
@@ -15,7 +15,7 @@
 
 from testbed.site import Site, SitePlan, start_site  # noqa: E402
 
-_CALLERS = types.MappingProxyType(
+_MODELS_AND_KEYS = types.MappingProxyType(
     {
         'roadgrip': ('roadgrip-report', 'example-key-crews-colombo'),
         'lagosta': ('lagosta-keeper', 'example-key-pounds-fortaleza'),
@@ -37,11 +37,11 @@
         with start_site(plan, pathlib.Path(directory)) as site:
             print(
                 f'{len(site.instances)} instances in 3 availability zones '
-                f'before {len(site.endpoints)} endpoints; '
+                f'in front of {len(site.endpoints)} endpoints; '
                 f'sending a mixed load for {_SECONDS} s',
             )
-            code = _run_load(site, *_CALLERS[example])
-    print('everything stopped')
+            code = _run_load(site, *_MODELS_AND_KEYS[example])
+    print('all processes stopped')
     return code
 
 
