--- a/bench/slopes_gossip.py
+++ b/bench/slopes_gossip.py
@@ -43,8 +43,8 @@
     seconds = float(0)
     for number in range(_ROUNDS):
         now = number * PERIOD
-        for index in range(1, size):
-            table.merge(_create_member(index, number + 2, generator), now)
+        for received in range(1, size):
+            table.merge(_create_member(received, number + 2, generator), now)
         started = time.process_time()
         for address in gossiper.choose_targets(now, {}):
             gossiper.pack(address, local_member, now, _RECORD_BUDGET)
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -106,7 +106,7 @@
         """Messages sent to peers so far."""
         return self.counters.peer_messages.get({'direction': 'sent'})
 
-    def update_reports(self, generator: random.Random) -> None:
+    def load(self, generator: random.Random) -> None:
         """Record new reports of this member's engines, with random work."""
         now = monotonic()
         for number, endpoint in enumerate(self.table.all().values()):
@@ -202,7 +202,7 @@
     generator = random.Random(1)
     while True:
         for member in measured:
-            member.update_reports(generator)
+            member.load(generator)
         await asyncio.sleep(1)
 
 
