--- a/tests/ingress/callers.py
+++ b/tests/ingress/callers.py
@@ -1,4 +1,4 @@
-"""Calls as callers of the routed interface make them."""
+"""Client calls to the routed interface of an instance."""
 
 import itertools
 import socket
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Answer:
-    """An answer, whole unless ``broken``."""
+    """An answer, complete unless ``broken`` (aborted by the connection)."""
 
     request_id: str
     status: int
@@ -27,17 +27,17 @@
 
     @property
     def stamped(self) -> bool:
-        """Whether an endpoint's stamp is on it."""
+        """Whether the answer has an endpoint's stamp."""
         return 'X-Kelproad-Server-Stamp' in self.headers
 
 
 def next_id() -> str:
-    """Give out an id that no other call has."""
+    """Return a request id that is unique in this process."""
     return f'{next(_ids):016x}'
 
 
 def make_headers(request_id: str, **more: str) -> dict[str, str]:
-    """Build the headers that every call has."""
+    """Build the headers of a call; one with an empty text is omitted."""
     headers = {
         'Host': HOST,
         'X-Kelproad-Request-Id': request_id,
@@ -58,10 +58,10 @@
     request_id: str | None = None,
     **headers: str,
 ) -> Answer:
-    """Make one call on a connection of its own and read its answer."""
+    """Make one call on a new connection and read its answer."""
     request_id = request_id or next_id()
     connection = client.HTTPConnection(instance.caller, timeout=20)
-    began = time.monotonic()
+    started_at = time.monotonic()
     connection.request(
         method,
         path,
@@ -82,7 +82,7 @@
         response.status,
         response.headers,
         received,
-        time.monotonic() - began,
+        time.monotonic() - started_at,
         broken,
     )
 
@@ -93,7 +93,7 @@
     tokens: str = '100,50',
     **headers: str,
 ) -> Answer:
-    """Ask for a stream."""
+    """Request a stream with token counts ``prompt,output``."""
     return call(
         instance,
         path,
@@ -108,14 +108,14 @@
 def run_aside(
     target: Callable[[], Answer], results: list[Answer]
 ) -> threading.Thread:
-    """Run a call in a thread; its answer goes to a list."""
+    """Start a call in a thread that appends its answer to a list."""
     thread = threading.Thread(target=lambda: results.append(target()))
     thread.start()
     return thread
 
 
 def count_events(answer: Answer) -> list[int]:
-    """List the numbers of the events of an answer."""
+    """List the event ids of an answer, in order."""
     return [
         int(line[3:])
         for line in answer.body.decode().splitlines()
@@ -124,13 +124,13 @@
 
 
 def send_raw(instance: RoutedInstance, raw: bytes) -> bytes:
-    """Send bytes and read whatever comes until the end."""
+    """Send bytes and read until the connection is closed or reset."""
     host, port = instance.caller.split(':')
-    with socket.create_connection((host, int(port)), timeout=10) as sent:
-        sent.sendall(raw)
+    with socket.create_connection((host, int(port)), timeout=10) as connection:
+        connection.sendall(raw)
         received = b''
         try:
-            while chunk := sent.recv(65536):
+            while chunk := connection.recv(65536):
                 received += chunk
         except ConnectionError:
             return received
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints that end in other ways than they should."""
+"""Attempts at endpoints that fail, refuse or answer incorrectly."""
 
 import asyncio
 import contextlib
@@ -45,15 +45,18 @@
 from kelproad.transport.deadlines import monotonic
 from kelproad.transport.http import create_single_use_session
 
-#: Seconds of silence for which an endpoint is to blame.
+#: Silence timeout of an attempt in seconds; exceeding it is a fault of the
+#: endpoint.
 SILENCE = 1.0
 REQUEST_ID = 'a1b2'
 HEAD = f'HTTP/1.1 200 OK\r\nX-Kelproad-Request-Id: {REQUEST_ID}\r\n'
-Act = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Handler = Callable[
+    [asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
+]
 
 
 def build_call(kind: CallKind = CallKind.IDEMPOTENT) -> Call:
-    """Build a call of a kind with five seconds left."""
+    """Build a call of a kind whose deadline is in five seconds."""
     now = monotonic()
     route = Route(
         'lookups',
@@ -70,9 +73,9 @@
 
 
 @contextlib.asynccontextmanager
-async def serve(act: Act) -> AsyncIterator[Endpoint]:
-    """Serve connections by a function on a free port."""
-    server = await asyncio.start_server(act, '127.0.0.1', 0)
+async def serve(handler: Handler) -> AsyncIterator[Endpoint]:
+    """Serve connections with a handler on a free port."""
+    server = await asyncio.start_server(handler, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     declaration = EndpointDeclaration('i-1', 'a', f'127.0.0.1:{port}')
     try:
@@ -86,7 +89,7 @@
 
 @pytest.fixture
 async def client() -> AsyncIterator[EndpointClient]:
-    """Open a client as an instance does."""
+    """Open a client with the session settings of an instance."""
     dialect = Dialect(
         read_call_head,
         encode_call,
@@ -103,7 +106,7 @@
 
 @pytest.fixture
 def verdicts() -> AttemptEvaluator:
-    """Judge attempts as one instance alone does."""
+    """Create the evaluator of an instance that has no peers."""
     return AttemptEvaluator(
         EndpointTable(),
         RetryBudgets(Bounds, lambda: 1),
@@ -130,7 +133,7 @@
 
 
 async def send(client: EndpointClient, endpoint: Endpoint) -> object:
-    """Send a call and read its whole answer."""
+    """Send a call and read its answer to the end."""
     call = build_call()
     opened = await open_answer(client, endpoint, call)
     if isinstance(opened, Failure):
@@ -138,11 +141,11 @@
     return await collect(opened.unwrap(), call.deadline)
 
 
-async def test_a_reset_is_no_end_of_a_body(client: EndpointClient) -> None:
-    """An endpoint crashes in the midst of an answer without a length.
+async def test_a_reset_does_not_end_a_body(client: EndpointClient) -> None:
+    """An endpoint crashes while it sends an answer without a length.
 
-    Such an answer ends with its connection, and the reset of the crash passed
-    for that end: the caller got half of a reading, framed as complete.
+    Such an answer ends when its connection is closed.  A reset must not count
+    as that end: the caller would get a truncated body framed as complete.
     """
 
     async def crash(
@@ -169,7 +172,7 @@
     client: EndpointClient,
     pause: float,
 ) -> None:
-    """The same answer, whole: its connection is closed and not reset."""
+    """The answer is complete if its connection is closed, not reset."""
 
     async def finish(
         reader: asyncio.StreamReader,
@@ -185,16 +188,16 @@
     assert outcome.unwrap().body == b'whole'
 
 
-async def test_an_answer_to_another_call_is_not_handed_on(
+async def test_an_answer_to_another_call_is_not_forwarded(
     client: EndpointClient,
 ) -> None:
     """An endpoint sends an answer that belongs to an earlier call.
 
-    Only the id that it repeats tells; the caller would get somebody else's
-    readings.
+    Only the request id that it repeats shows this; the caller would get data
+    of another caller.
     """
 
-    async def cross(
+    async def answer_another_call(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -202,25 +205,25 @@
         head = HEAD.replace(REQUEST_ID, 'ffff')
         writer.write(f'{head}Content-Length: 5\r\n\r\nother'.encode())
 
-    async with serve(cross) as endpoint:
+    async with serve(answer_another_call) as endpoint:
         outcome = await send(client, endpoint)
     assert outcome.failure().ran is Ran.UNKNOWN
 
 
-async def test_the_path_goes_on_as_it_was_written(
+async def test_the_path_is_forwarded_unchanged(
     client: EndpointClient,
 ) -> None:
-    """Escaped slashes, dots and queries reach the endpoint unchanged."""
-    seen: list[bytes] = []
+    """Escapes, dot segments and the query are not normalized."""
+    heads: list[bytes] = []
 
-    async def note(
+    async def record_head(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        seen.append(await reader.readuntil(b'\r\n\r\n'))
+        heads.append(await reader.readuntil(b'\r\n\r\n'))
         writer.write(f'{HEAD}Content-Length: 2\r\n\r\nok'.encode())
 
-    async with serve(note) as endpoint:
+    async with serve(record_head) as endpoint:
         call = build_call()
         target = '/r/a%2Fb/../%7e//?q=a+b&c=%41'
         head = CallHead(REQUEST_ID, 'GET', 'h.example', target, 'key')
@@ -234,7 +237,7 @@
             SILENCE,
         )
         opened.unwrap().close()
-    text = seen[0].decode()
+    text = heads[0].decode()
     assert text.startswith(f'GET {target} HTTP/1.1\r\n')
     assert 'X-Api-Key' not in text
     assert 'forged' not in text
@@ -244,7 +247,7 @@
 async def test_a_refused_connection_proves_that_nothing_ran(
     client: EndpointClient,
 ) -> None:
-    """No endpoint listens: the call may go elsewhere, whatever its kind."""
+    """Nobody listens: a call of any kind may go to another endpoint."""
     listener = socket.create_server(('127.0.0.1', 0))
     port = listener.getsockname()[1]
     listener.close()
@@ -258,17 +261,17 @@
     assert not outcome.failure().arrived
 
 
-async def test_an_endpoint_that_did_not_run_it_says_so(
+async def test_an_endpoint_reports_that_it_did_not_run_a_call(
     client: EndpointClient,
     verdicts: AttemptEvaluator,
 ) -> None:
-    """A full endpoint refuses; the promise that nothing ran is its own.
+    """A full endpoint refuses a call and states that it did not run it.
 
-    Work that may run once only goes to another one by that word, and the
-    endpoint stays in use, other than one whose address somebody else has.
+    A non-idempotent call may then go to another endpoint.  Unlike after a 421,
+    the refusing endpoint stays in use.
     """
 
-    async def shed(
+    async def refuse(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -278,7 +281,7 @@
             b'Content-Length: 0\r\n\r\n',
         )
 
-    async with serve(shed) as endpoint:
+    async with serve(refuse) as endpoint:
         outcome = await send(client, endpoint)
     failure = outcome.failure()
     assert failure.ran is Ran.NO
@@ -293,17 +296,17 @@
     assert endpoint.misdirected_until < monotonic()
 
 
-@pytest.mark.parametrize('mark', ['', 'X-Kelproad-Not-Executed: 1\r\n'])
-async def test_another_one_at_the_address_says_so(
+@pytest.mark.parametrize('header', ['', 'X-Kelproad-Not-Executed: 1\r\n'])
+async def test_another_engine_uses_the_address(
     client: EndpointClient,
     verdicts: AttemptEvaluator,
-    mark: str,
+    header: str,
 ) -> None:
-    """An engine is gone, and its address serves another one.
+    """An engine has departed, and another one uses its address.
 
-    That one answers 421, and may say as well that it did not run the call.  By
-    that word it passed for a full endpoint, and went on getting calls that were
-    meant for the one that is gone.
+    The other one answers 421, and may also state that it did not run the call.
+    It must not pass for a full endpoint then: it would keep getting calls that
+    were meant for the departed one.
     """
 
     async def misdirect(
@@ -311,7 +314,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         await reader.readuntil(b'\r\n\r\n')
-        head = f'HTTP/1.1 421 Other\r\n{mark}Content-Length: 0\r\n\r\n'
+        head = f'HTTP/1.1 421 Other\r\n{header}Content-Length: 0\r\n\r\n'
         writer.write(head.encode())
 
     async with serve(misdirect) as endpoint:
@@ -322,8 +325,8 @@
     assert not endpoint.consecutive_failures
 
 
-async def test_one_connection_a_call(client: EndpointClient) -> None:
-    """A call that breaks without an answer is not sent again by a library."""
+async def test_a_failed_call_is_not_sent_again(client: EndpointClient) -> None:
+    """The HTTP client makes one attempt, also if no answer arrives."""
     heads: list[bytes] = []
 
     async def hang_up(
@@ -339,10 +342,10 @@
     assert outcome.failure().ran is Ran.UNKNOWN
 
 
-async def test_an_answer_that_nobody_awaits_any_more_is_closed(
+async def test_an_answer_that_is_no_longer_awaited_is_closed(
     client: EndpointClient,
 ) -> None:
-    """Its caller left as it came; the engine went on working for nobody."""
+    """A caller leaves as the answer arrives; the engine must stop."""
 
     async def answer(
         reader: asyncio.StreamReader,
--- a/tests/ingress/test_boundary.py
+++ b/tests/ingress/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in its folder, and lines never hold a call up."""
+"""The platform's names stay in its package, and logging never blocks."""
 
 import logging
 import os
@@ -18,16 +18,16 @@
     '|path_prefix|api_keys|kv_capacity|warmup_left|read_per_s',
     re.IGNORECASE,
 )
-#: The stand-ins take the platform's place, so they speak as it does.
-SPEAKERS = ('platform', 'standins')
+#: The stand-ins emulate the platform, so they use its names too.
+PLATFORM_PACKAGES = ('platform', 'standins')
 
 
 def test_names_on_the_wire_stay_in_the_adapter() -> None:
-    """No decision depends on how the platform spells a field."""
+    """No other package depends on the platform's spelling of a field."""
     found = [
         f'{path.relative_to(SOURCE)}:{number}: {line.strip()}'
         for path in sorted(SOURCE.rglob('*.py'))
-        if path.relative_to(SOURCE).parts[0] not in SPEAKERS
+        if path.relative_to(SOURCE).parts[0] not in PLATFORM_PACKAGES
         for number, line in enumerate(path.read_text().splitlines(), 1)
         if WIRE_NAMES.search(line)
     ]
@@ -35,7 +35,7 @@
 
 
 def run_logging(script: str, **options: object) -> subprocess.Popen[bytes]:
-    """Run a script that logs, in a process of its own."""
+    """Run a script with structured logging in a new process."""
     prelude = (
         'import logging, sys, time\n'
         'from kelproad.cli.structured import configure_structured_logging\n'
@@ -50,12 +50,12 @@
     )
 
 
-def test_a_full_pipe_holds_nothing_up() -> None:
-    """Whoever reads the log stops reading, and the pipe fills.
+def test_a_full_pipe_does_not_block() -> None:
+    """The process that reads the log stops reading, and the pipe fills.
 
-    Calls must go on: lines are dropped, and the process still ends.
+    Lines must be dropped; neither calls nor the exit may block.
     """
-    reading, writing = os.pipe()
+    read_end, write_end = os.pipe()
     script = (
         'began = time.monotonic()\n'
         'for number in range(20000):\n'
@@ -63,17 +63,17 @@
         'print(time.monotonic() - began, file=sys.stderr, flush=True)\n'
         'import os; os._exit(0)\n'
     )
-    process = run_logging(script, stdout=writing)
+    process = run_logging(script, stdout=write_end)
     _, errors = process.communicate(timeout=60)
-    os.close(writing)
-    os.close(reading)
+    os.close(write_end)
+    os.close(read_end)
     assert float(errors.decode().splitlines()[-1]) < 10
 
 
-def test_a_reader_that_is_gone_holds_nothing_up() -> None:
-    """The log's reader ends; writing to its pipe fails from then on."""
-    reading, writing = os.pipe()
-    os.close(reading)
+def test_a_closed_pipe_does_not_block() -> None:
+    """The log's reader exits; from then on each write fails."""
+    read_end, write_end = os.pipe()
+    os.close(read_end)
     script = (
         'for number in range(100):\n'
         '    record(logger, "event", number=number)\n'
@@ -81,14 +81,14 @@
         'print("went on", file=sys.stderr, flush=True)\n'
         'import os; os._exit(0)\n'
     )
-    process = run_logging(script, stdout=writing)
+    process = run_logging(script, stdout=write_end)
     _, errors = process.communicate(timeout=60)
-    os.close(writing)
+    os.close(write_end)
     assert b'went on' in errors
 
 
 def test_lines_beyond_the_bound_are_counted() -> None:
-    """A flood of events leaves a bounded log that says what is missing."""
+    """A burst of events is logged up to a bound; the rest is counted."""
     script = (
         'for number in range(3000):\n'
         '    record(logger, "event", number=number)\n'
@@ -106,7 +106,7 @@
 def test_a_line_names_event_fields_and_instance(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Each line is one JSON object."""
+    """Each line is one JSON object; without a handler none is written."""
     process = run_logging(
         'record(logger, "placed", request="a1", waited=0.5)\nlines.stop()\n',
         stdout=subprocess.PIPE,
@@ -119,8 +119,8 @@
     assert not capsys.readouterr().out
 
 
-def test_a_story_is_told_from_logs(tmp_path: pathlib.Path) -> None:
-    """Two instances log; one request's lines are told in order."""
+def test_explain_merges_logs(tmp_path: pathlib.Path) -> None:
+    """``explain`` prints one request's lines of two instances in order."""
     first, second = tmp_path / 'edge-1.log', tmp_path / 'edge-2.log'
     first.write_text(
         'no line\n'
@@ -132,7 +132,7 @@
         '{"time":1,"instance":"edge-2","event":"refused","request":"b2"}\n'
         '{"time":3,"event":"x","request":"a1"\n',
     )
-    told = subprocess.run(
+    printed = subprocess.run(
         [
             *(sys.executable, '-m', 'kelproad', 'explain', 'a1'),
             *('--log', str(first), '--log', str(second)),
@@ -140,7 +140,7 @@
         capture_output=True,
         check=True,
     ).stdout.decode()
-    lines = told.splitlines()
+    lines = printed.splitlines()
     assert len(lines) == 2
     assert 'placed' in lines[0]
     assert 'endpoint="i-1"' in lines[0]
