--- a/tests/ingress/callers.py
+++ b/tests/ingress/callers.py
@@ -126,11 +126,11 @@
 def send_raw(instance: RoutedInstance, raw: bytes) -> bytes:
     """Send bytes and read until the connection is closed or reset."""
     host, port = instance.caller.split(':')
-    with socket.create_connection((host, int(port)), timeout=10) as connection:
-        connection.sendall(raw)
+    with socket.create_connection((host, int(port)), timeout=10) as sent:
+        sent.sendall(raw)
         received = b''
         try:
-            while chunk := connection.recv(65536):
+            while chunk := sent.recv(65536):
                 received += chunk
         except ConnectionError:
             return received
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -216,14 +216,14 @@
     """Escapes, dot segments and the query are not normalized."""
     heads: list[bytes] = []
 
-    async def record_head(
+    async def note(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         heads.append(await reader.readuntil(b'\r\n\r\n'))
         writer.write(f'{HEAD}Content-Length: 2\r\n\r\nok'.encode())
 
-    async with serve(record_head) as endpoint:
+    async with serve(note) as endpoint:
         call = build_call()
         target = '/r/a%2Fb/../%7e//?q=a+b&c=%41'
         head = CallHead(REQUEST_ID, 'GET', 'h.example', target, 'key')
@@ -271,7 +271,7 @@
     the refusing endpoint stays in use.
     """
 
-    async def refuse(
+    async def shed(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -281,7 +281,7 @@
             b'Content-Length: 0\r\n\r\n',
         )
 
-    async with serve(refuse) as endpoint:
+    async with serve(shed) as endpoint:
         outcome = await send(client, endpoint)
     failure = outcome.failure()
     assert failure.ran is Ran.NO
--- a/tests/ingress/test_calls_site.py
+++ b/tests/ingress/test_calls_site.py
@@ -1,4 +1,4 @@
-"""Calls through a real instance: answered whole, or refused truthfully."""
+"""Calls through a real instance: complete answers or correct refusals."""
 
 import pathlib
 import time
@@ -19,42 +19,44 @@
 )
 
 ENGINES = ('engine-1', 'engine-2', 'engine-3')
-BOOKS = ('book-1', 'book-2')
-#: Share of failures below which an endpoint is trusted again.
-WELL = 0.5
-#: Seconds that a caller allows, and by which its answer may be late here.
+BOOK_ENDPOINTS = ('book-1', 'book-2')
+#: Share of failed calls below which an endpoint counts as healthy again.
+HEALTHY_SHARE = 0.5
+#: Deadline of a caller, and the tolerance for measuring it, in seconds.
 DEADLINE = 0.6
-SLACK = 0.1
+TOLERANCE = 0.1
+#: Seconds within which an immediate reaction must be seen.
 SOON = 0.5
-#: Objective of the routes whose endpoints may not be silent for long.
-BRISK = 0.25
+#: Objective of the ``brisk`` routes in seconds, after which a silent endpoint
+#: is given up.
+BRISK_OBJECTIVE = 0.25
 
 
 @pytest.fixture(scope='module')
 def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RoutedSite]:
-    """Run one site for the tests of this file."""
+    """Start one site for the tests of this module."""
     with start_routed_site(tmp_path_factory.mktemp('site')) as site:
         yield site
 
 
 @pytest.fixture
 def site(running: RoutedSite) -> Iterator[RoutedSite]:
-    """Leave the site well for the next test."""
+    """Clear all faults after a test, until every endpoint is healthy."""
     yield running
     for name in running.endpoints:
         running.break_endpoint(name)
-    # Endpoints that failed get work again only after some seconds.
+    # Ejected endpoints get calls again only after some seconds.
     wait_for(
         lambda: all(
-            endpoint['failing'] < WELL and not endpoint['ejected_for']
+            endpoint['failing'] < HEALTHY_SHARE and not endpoint['ejected_for']
             for endpoint in running.instances[0].dump()['endpoints'].values()
         ),
-        'endpoints are trusted again',
+        'endpoints are healthy again',
     )
 
 
-def test_an_answer_is_handed_on_unchanged(site: RoutedSite) -> None:
-    """Status, body and stamp are the endpoint's; the key stays here."""
+def test_an_answer_is_forwarded_unchanged(site: RoutedSite) -> None:
+    """Status, body and stamp are the endpoint's; it doesn't get the key."""
     answer = call(site.instances[0], '/lookups/a%2Fb?c=d')
     assert answer.status == 200
     assert answer.body.startswith(b'answer of book-')
@@ -62,7 +64,7 @@
     assert answer.headers['X-Kelproad-Request-Id'] == answer.request_id
     runs = [
         run
-        for name in BOOKS
+        for name in BOOK_ENDPOINTS
         for run in site.show_endpoint(name)['runs']
         if run['X-Kelproad-Request-Id'] == answer.request_id
     ]
@@ -73,8 +75,8 @@
     assert int(runs[0]['X-Kelproad-Deadline-Ms']) < 4000
 
 
-def test_a_body_goes_on_as_it_came(site: RoutedSite) -> None:
-    """A chunked body of encoded bytes arrives as the same bytes."""
+def test_a_body_is_forwarded_unchanged(site: RoutedSite) -> None:
+    """A chunked body with a content encoding is not decoded."""
     request_id = next_id()
     head = ''.join(
         f'{name}: {text}\r\n'
@@ -90,15 +92,15 @@
     assert b' 200 ' in send_raw(site.instances[0], raw.encode())
     runs = [
         run
-        for name in BOOKS
+        for name in BOOK_ENDPOINTS
         for run in site.show_endpoint(name)['runs']
         if run['X-Kelproad-Request-Id'] == request_id
     ]
     assert runs[0]['body'] == 'abcde'
 
 
-def test_what_is_not_configured_is_refused(site: RoutedSite) -> None:
-    """Unknown paths and hosts, a wrong key and none: nothing runs."""
+def test_unconfigured_calls_are_refused(site: RoutedSite) -> None:
+    """Unknown paths and hosts, and wrong or missing keys, are refused."""
     instance = site.instances[0]
     assert call(instance, '/nowhere/x').status == 404
     assert call(instance, '/lookups/x', Host='other.example').status == 404
@@ -110,20 +112,20 @@
 def test_an_idempotent_call_is_repeated_after_an_error(
     site: RoutedSite,
 ) -> None:
-    """One of two books answers every lookup with an error of its own.
+    """One of two endpoints answers every lookup with an error.
 
-    A crew that asks again must get its readings: the other book has them.
+    The call must be retried at the other one, so the caller sees no error.
     """
     site.break_endpoint('book-1', error=True)
     answers = [call(site.instances[0], '/lookups/x') for _ in range(6)]
     assert {answer.status for answer in answers} == {200}
 
 
-def test_an_error_is_handed_on_when_nothing_is_better(
+def test_an_error_is_forwarded_when_all_endpoints_fail(
     site: RoutedSite,
 ) -> None:
-    """Both books fail: the caller gets an endpoint's error, stamp and all."""
-    for name in BOOKS:
+    """The caller gets an endpoint's own error answer with its stamp."""
+    for name in BOOK_ENDPOINTS:
         site.break_endpoint(name, error=True)
     answer = call(site.instances[0], '/lookups/x')
     assert answer.status == 500
@@ -134,12 +136,12 @@
 def test_a_booking_whose_answer_is_lost_is_not_repeated(
     site: RoutedSite,
 ) -> None:
-    """A book runs a booking, and the connection breaks before its answer.
+    """An endpoint runs a booking, and the connection breaks before its answer.
 
-    Sending it to the other book would bill the member twice; saying that it
-    has not run would have the caller do so.
+    Sending it to the other endpoint would run it twice; so would a refusal
+    that states that it has not run, since the caller would then repeat it.
     """
-    for name in BOOKS:
+    for name in BOOK_ENDPOINTS:
         site.break_endpoint(name, lose=True)
     answer = call(site.instances[0], '/bookings/x', 'POST', b'run 7')
     assert answer.status == 502
@@ -147,8 +149,8 @@
     assert site.count_runs(answer.request_id) == 1
 
 
-def test_a_booking_goes_on_where_nothing_ran(site: RoutedSite) -> None:
-    """A full book says that it did not run a booking; the other one does."""
+def test_a_booking_is_retried_where_nothing_ran(site: RoutedSite) -> None:
+    """A full endpoint reports that it did not run it; the other one does."""
     site.break_endpoint('book-1', shed=True)
     for _ in range(4):
         answer = call(site.instances[0], '/bookings/x', 'POST', b'run 8')
@@ -156,9 +158,9 @@
         assert site.count_runs(answer.request_id) == 1
 
 
-def test_a_refusal_says_when_to_come_back(site: RoutedSite) -> None:
-    """Every book is full: 503, not run, at once, with a time to return."""
-    for name in BOOKS:
+def test_a_refusal_states_when_to_retry(site: RoutedSite) -> None:
+    """All endpoints are full: 503 at once with ``Retry-After``, not run."""
+    for name in BOOK_ENDPOINTS:
         site.break_endpoint(name, shed=True)
     answer = call(site.instances[0], '/bookings/x', 'POST', b'run 9')
     assert answer.status == 503
@@ -167,9 +169,11 @@
     assert site.count_runs(answer.request_id) == 0
 
 
-def test_a_late_booking_gets_its_answer_in_time(site: RoutedSite) -> None:
-    """A book hangs: at its deadline the caller hears that it may have run."""
-    for name in BOOKS:
+def test_a_hanging_booking_is_answered_at_its_deadline(
+    site: RoutedSite,
+) -> None:
+    """All endpoints hang: the caller gets a 504, as it may have run."""
+    for name in BOOK_ENDPOINTS:
         site.break_endpoint(name, hang=True)
     answer = call(
         site.instances[0],
@@ -179,18 +183,18 @@
         X_Kelproad_Deadline_Ms=str(int(DEADLINE * 1000)),
     )
     assert answer.status == 504
-    assert answer.seconds < DEADLINE + SLACK
+    assert answer.seconds < DEADLINE + TOLERANCE
 
 
-def test_a_lookup_whose_endpoint_falls_silent_goes_on(
+def test_a_lookup_at_a_silent_endpoint_is_retried(
     site: RoutedSite,
 ) -> None:
-    """A book runs a lookup and its answer is lost, without any reset.
+    """An endpoint runs a lookup and its answer is lost without a reset.
 
-    The caller waited for its whole second and got nothing.  A lookup may run
-    twice, so another book answers it while there is time.
+    Waiting for it would use up the deadline.  A lookup may run twice, so
+    another endpoint must answer it before that.
     """
-    site.break_endpoint(BOOKS[0], hang=True)
+    site.break_endpoint(BOOK_ENDPOINTS[0], hang=True)
     answers = [
         call(
             site.instances[0],
@@ -200,19 +204,19 @@
         for _ in range(6)
     ]
     assert all(answer.status == 200 for answer in answers)
-    # Three silences in a row, and the book is left alone for a while.
-    assert sum(answer.seconds > BRISK for answer in answers) <= 3
+    # Three consecutive silence timeouts eject the endpoint.
+    assert sum(answer.seconds > BRISK_OBJECTIVE for answer in answers) <= 3
 
 
-def test_late_lookups_are_waited_for_once_retries_are_spent(
+def test_late_lookups_are_awaited_once_retries_are_exhausted(
     site: RoutedSite,
 ) -> None:
-    """Every book is later than it should be, as under a burst.
+    """All endpoints miss the objective, as under a burst.
 
-    Leaving each for another one soon spends the retries that are permitted,
-    and lookups were then given up though their answers were on the way.
+    Retrying each late lookup soon exhausts the retry budget.  After that a
+    lookup must not be abandoned while its answer may still arrive.
     """
-    for name in BOOKS:
+    for name in BOOK_ENDPOINTS:
         site.break_endpoint(name, pace=0.45)
     answers = [
         call(site.instances[0], '/brisk/x', X_Kelproad_Deadline_Ms='1500')
@@ -222,12 +226,12 @@
 
 
 def test_bookings_leave_an_endpoint_that_falls_silent(site: RoutedSite) -> None:
-    """A book hangs, and each booking sent there is lost for its caller.
+    """An endpoint hangs, and each booking sent there gets no answer.
 
-    It may have run, so it is not sent again; but silence for that long is the
-    book's failure, and the bookings after it go to the other one.
+    It may have run, so it is not sent again; but the silence counts as a
+    failure of the endpoint, and later bookings go to the other one.
     """
-    site.break_endpoint(BOOKS[0], hang=True)
+    site.break_endpoint(BOOK_ENDPOINTS[0], hang=True)
     answers = [
         call(
             site.instances[0],
@@ -244,11 +248,11 @@
     assert all(site.count_runs(answer.request_id) <= 1 for answer in answers)
 
 
-def test_an_answer_to_somebody_else_is_not_handed_on(
+def test_an_answer_to_another_call_is_not_forwarded(
     site: RoutedSite,
 ) -> None:
-    """A book mixes answers up; the caller hears of a failure instead."""
-    for name in BOOKS:
+    """An endpoint confuses answers; the caller gets a 502 instead."""
+    for name in BOOK_ENDPOINTS:
         site.break_endpoint(name, crossed=True)
     answer = call(site.instances[0], '/bookings/x', 'POST', b'run 11')
     assert answer.status == 502
@@ -258,8 +262,8 @@
 # Streams
 
 
-def test_a_stream_is_handed_on_event_by_event(site: RoutedSite) -> None:
-    """All events, once and in order, and a clean end."""
+def test_a_stream_is_forwarded_event_by_event(site: RoutedSite) -> None:
+    """All events arrive once and in order, followed by a regular end."""
     answer = stream(site.instances[0])
     assert answer.status == 200
     assert count_events(answer) == [1, 2, 3, 4, 5]
@@ -270,10 +274,10 @@
 def test_a_broken_stream_is_resumed_at_another_engine(
     site: RoutedSite,
 ) -> None:
-    """An engine breaks off in the midst of the third event.
+    """An engine aborts its stream within the third event.
 
-    The reader must see five whole events: the half one is not handed on, and
-    another engine goes on behind the second.
+    The caller must get each event complete and once: the truncated one is not
+    forwarded, and another engine continues after the second.
     """
     for name in ENGINES:
         site.break_endpoint(name, break_after=2, events=4)
@@ -284,7 +288,7 @@
 
 
 def test_a_broken_stream_never_looks_complete(site: RoutedSite) -> None:
-    """A stream that may not be resumed breaks: no clean end, one run."""
+    """A stream that may not be resumed is aborted without a regular end."""
     for name in ENGINES:
         site.break_endpoint(name, break_after=2)
     answer = stream(site.instances[0], '/fragile/x')
@@ -294,13 +298,13 @@
 
 
 def test_a_caller_resumes_a_stream(site: RoutedSite) -> None:
-    """A caller whose connection broke comes back with its last event."""
+    """A caller that names its last event gets only those after it."""
     answer = stream(site.instances[0], Last_Event_Id='3')
     assert count_events(answer) == [4, 5]
 
 
 def test_an_engine_stops_when_its_caller_leaves(site: RoutedSite) -> None:
-    """A caller closes its connection; its engine must not write on."""
+    """A caller closes its connection; its engine must stop decoding."""
     for name in ENGINES:
         site.break_endpoint(name, pace=0.2, events=50)
     request_id = next_id()
@@ -315,21 +319,21 @@
     response.read(10)
     response.close()
     connection.close()
-    began = time.monotonic()
+    closed_at = time.monotonic()
     wait_for(
         lambda: any(
             request_id in site.show_endpoint(name)['left'] for name in ENGINES
         ),
         'the engine noticed',
     )
-    assert time.monotonic() - began < SOON
+    assert time.monotonic() - closed_at < SOON
 
 
-def test_a_prompt_larger_than_an_engine_is_spread(site: RoutedSite) -> None:
-    """A season review needs more memory than any engine has.
+def test_a_prompt_larger_than_an_engine_is_split(site: RoutedSite) -> None:
+    """A prompt needs more memory than any engine has.
 
-    Memory is reserved at helpers, the review is answered, and nothing stays
-    reserved.
+    Memory is reserved at helper engines, the prompt is answered, and all
+    reservations are released.
     """
     answer = stream(site.instances[0], tokens='400000,50')
     assert answer.status == 200
@@ -344,8 +348,10 @@
     )
 
 
-def test_a_hopeless_prompt_is_refused_at_once(site: RoutedSite) -> None:
-    """No set of engines holds three million tokens; waiting can't help."""
+def test_a_prompt_larger_than_all_engines_is_refused_at_once(
+    site: RoutedSite,
+) -> None:
+    """No set of engines has memory for three million tokens."""
     answer = stream(site.instances[0], tokens='3000000,50')
     assert answer.status == 503
     assert answer.seconds < SOON
@@ -362,16 +368,16 @@
         {'X_Kelproad_Request_Id': ''},
     ],
 )
-def test_odd_headers_are_a_bad_request(
+def test_invalid_headers_are_a_bad_request(
     site: RoutedSite,
     headers: dict[str, str],
 ) -> None:
-    """What can't be read is said to be so, and nothing is sent on."""
+    """A header that can't be parsed is answered with 400."""
     assert call(site.instances[0], '/lookups/x', **headers).status == 400
 
 
-def test_an_absurd_deadline_is_bounded_by_the_route(site: RoutedSite) -> None:
-    """A deadline of ages neither overflows nor outlasts the route."""
+def test_a_huge_deadline_is_bounded_by_the_route(site: RoutedSite) -> None:
+    """A deadline of 15 digits neither overflows nor is refused."""
     answer = call(
         site.instances[0],
         '/lookups/x',
@@ -381,8 +387,8 @@
 
 
 @pytest.mark.parametrize('count', ['', 'many', '1,2,3', '-1,5', '5', ',,'])
-def test_odd_token_counts_do_no_harm(site: RoutedSite, count: str) -> None:
-    """Counts that can't be read count as nothing."""
+def test_invalid_token_counts_are_ignored(site: RoutedSite, count: str) -> None:
+    """Counts that can't be parsed count as zero."""
     answer = stream(site.instances[0], tokens=count or '0,0')
     assert answer.status == 200
 
@@ -405,7 +411,7 @@
     ],
 )
 def test_ambiguous_framing_is_refused(site: RoutedSite, framing: str) -> None:
-    """Two readings of where a request ends would let one hide another."""
+    """Request smuggling needs two interpretations of a request's end."""
     request_id = next_id()
     head = ''.join(
         f'{name}: {text}\r\n' for name, text in make_headers(request_id).items()
@@ -416,10 +422,10 @@
     assert site.count_runs(request_id) == 0
 
 
-def test_headers_that_only_the_system_sets_are_replaced(
+def test_internal_headers_of_a_caller_are_replaced(
     site: RoutedSite,
 ) -> None:
-    """A caller names another workspace, helpers and an endpoint of its own."""
+    """A caller sets a workspace, helpers and an expected endpoint."""
     answer = call(
         site.instances[0],
         '/lookups/x',
@@ -430,7 +436,7 @@
     assert answer.status == 200
     runs = [
         run
-        for name in BOOKS
+        for name in BOOK_ENDPOINTS
         for run in site.show_endpoint(name)['runs']
         if run['X-Kelproad-Request-Id'] == answer.request_id
     ]
@@ -439,7 +445,7 @@
 
 
 def test_each_decision_is_logged_with_its_request(site: RoutedSite) -> None:
-    """From a request's id alone its way can be found in the log."""
+    """A request id finds all decisions on its request in the log."""
     answer = stream(site.instances[0])
     wait_for(
         lambda: any(
@@ -457,14 +463,14 @@
     assert events == ['placed', 'streamed', 'ended']
 
 
-def test_the_log_of_the_site_is_kept(site: RoutedSite) -> None:
-    """Instances say when they start."""
+def test_the_start_of_an_instance_is_logged(site: RoutedSite) -> None:
+    """The log file of the process has the event."""
     path = pathlib.Path(site.instances[0].process.log)
     assert '"instance_started"' in path.read_text()
 
 
 def test_headers_over_the_limit_are_refused(site: RoutedSite) -> None:
-    """16 KiB are permitted; more is refused before anything is sent on."""
+    """16 KiB are permitted; more is refused before anything is forwarded."""
     request_id = next_id()
     head = ''.join(
         f'{name}: {text}\r\n'
@@ -476,10 +482,10 @@
     assert site.count_runs(request_id) == 0
 
 
-def test_a_caller_that_waits_to_send_its_body_is_told_to(
+def test_an_expected_interim_answer_is_sent(
     site: RoutedSite,
 ) -> None:
-    """``Expect: 100-continue`` gets its interim answer, then the answer."""
+    """A caller gets the interim answer, sends its body, gets the answer."""
     request_id = next_id()
     head = ''.join(
         f'{name}: {text}\r\n' for name, text in make_headers(request_id).items()
@@ -493,8 +499,8 @@
     assert b'HTTP/1.1 200 OK' in received
 
 
-def test_an_upgrade_is_passed_by(site: RoutedSite) -> None:
-    """A wish for another protocol concerns one connection; it stays here."""
+def test_an_upgrade_is_ignored(site: RoutedSite) -> None:
+    """An upgrade is hop-by-hop and not forwarded; the call is answered."""
     answer = call(
         site.instances[0],
         '/open/x',
@@ -505,7 +511,7 @@
 
 
 def test_metrics_count_and_time_calls(site: RoutedSite) -> None:
-    """The metrics address has counters and latency histograms as text."""
+    """Counters and latency histograms are served as text."""
     stream(site.instances[0])
     with request.urlopen(
         f'http://{site.instances[0].metrics}/metrics',
