--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -105,7 +105,7 @@
 
 
 @pytest.fixture
-def verdicts() -> AttemptEvaluator:
+def evaluator() -> AttemptEvaluator:
     """Create the evaluator of an instance that has no peers."""
     return AttemptEvaluator(
         EndpointTable(),
@@ -263,7 +263,7 @@
 
 async def test_an_endpoint_reports_that_it_did_not_run_a_call(
     client: EndpointClient,
-    verdicts: AttemptEvaluator,
+    evaluator: AttemptEvaluator,
 ) -> None:
     """A full endpoint refuses a call and states that it did not run it.
 
@@ -289,8 +289,8 @@
     call = build_call(CallKind.NON_IDEMPOTENT)
     progress = Progress()
     progress.note(failure, endpoint.name, endpoint.name)
-    verdicts.note(call, Placement(endpoint), failure)
-    assert verdicts.check_retry(call, progress) is None
+    evaluator.note(call, Placement(endpoint), failure)
+    assert evaluator.check_retry(call, progress) is None
     assert not progress.may_forward_error(call)
     assert not endpoint.leaving
     assert endpoint.misdirected_until < monotonic()
@@ -299,7 +299,7 @@
 @pytest.mark.parametrize('header', ['', 'X-Kelproad-Not-Executed: 1\r\n'])
 async def test_another_engine_uses_the_address(
     client: EndpointClient,
-    verdicts: AttemptEvaluator,
+    evaluator: AttemptEvaluator,
     header: str,
 ) -> None:
     """An engine has departed, and another one uses its address.
@@ -319,7 +319,7 @@
 
     async with serve(misdirect) as endpoint:
         outcome = await send(client, endpoint)
-    verdicts.note(build_call(), Placement(endpoint), outcome.failure())
+    evaluator.note(build_call(), Placement(endpoint), outcome.failure())
     assert outcome.failure().ran is Ran.NO
     assert endpoint.misdirected_until > monotonic()
     assert not endpoint.consecutive_failures
--- a/tests/ingress/test_endpoints.py
+++ b/tests/ingress/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Entries of endpoints that change, vanish and come back."""
+"""Entries of endpoints that change, lapse and return."""
 
 import operator
 
@@ -26,32 +26,32 @@
 
 
 class Clock:
-    """A clock that tests set."""
+    """A clock set by tests, with the time of the store's recovery."""
 
     def __init__(self) -> None:
-        """Start at a thousand seconds; the store was never away."""
+        """Start at 1000 s; the store has not failed."""
         self.now = 1000
-        self.back_at = LONG_AGO
+        self.recovered_at = LONG_AGO
 
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    """Put a clock of the test's own in the place of the real one."""
-    own = Clock()
-    monkeypatch.setattr(registry_module, 'monotonic', lambda: own.now)
-    return own
+    """Replace the clock of the registry."""
+    fake = Clock()
+    monkeypatch.setattr(registry_module, 'monotonic', lambda: fake.now)
+    return fake
 
 
 @pytest.fixture
 def table() -> EndpointTable:
-    """Give the table that routing reads."""
+    """Create the table that routing reads."""
     return EndpointTable()
 
 
 @pytest.fixture
 def registry(clock: Clock, table: EndpointTable) -> EndpointRegistry:
-    """Register for one service."""
-    made = EndpointRegistry(table, lambda: clock.back_at, 2)
+    """Create a registry whose configuration has one service."""
+    made = EndpointRegistry(table, lambda: clock.recovered_at, 2)
     made.adopt_configuration(
         RoutingConfiguration.from_declarations(
             1,
@@ -80,42 +80,42 @@
 
 
 def decode(state: TableState) -> DecodedState:
-    """Decode a state of the table as an instance does."""
+    """Decode a state of the table with the decoder of an instance."""
     return DecodedState.from_state(state, decode_endpoint)
 
 
 def change(*rows: StoredRow) -> DecodedState:
-    """Build a change of the table."""
+    """Build a partial update of the table."""
     return decode(TableState(1, list(rows), whole=False))
 
 
 def drop(name: str) -> StoredRow:
-    """Build the dropping of a row."""
+    """Build the removal of a row."""
     return StoredRow(name, None, 2)
 
 
-def test_one_that_is_gone_gets_nothing(
+def test_a_removed_endpoint_gets_no_calls(
     registry: EndpointRegistry,
     table: EndpointTable,
 ) -> None:
-    """An entry is taken out while the store is well: it counts at once."""
+    """A removal takes effect at once while the store is healthy."""
     registry.adopt(change(write('i-1'), write('i-2'), write('i-3')))
     registry.adopt(change(drop('i-1')))
     assert set(table.all()) == {'i-2', 'i-3'}
 
 
-def test_lapsed_entries_are_kept_until_they_had_time(
+def test_lapsed_entries_are_kept_for_a_grace_period(
     registry: EndpointRegistry,
     table: EndpointTable,
     clock: Clock,
 ) -> None:
-    """The store was away, and all entries lapsed with it.
+    """The store failed, and all entries lapsed meanwhile.
 
-    They are back within two seconds of its return; who is missing after that
-    is gone.
+    Endpoints renew them within two seconds of its recovery; one whose entry is
+    still missing then has departed.
     """
     registry.adopt(change(write('i-1'), write('i-2')))
-    clock.back_at = clock.now
+    clock.recovered_at = clock.now
     registry.adopt(decode(TableState(9, [], whole=True)))
     assert set(table.all()) == {'i-1', 'i-2'}
     clock.now += 1
@@ -125,15 +125,16 @@
     assert set(table.all()) == {'i-1'}
 
 
-def test_all_at_once_is_taken_for_a_lapse(
+def test_removal_of_all_entries_counts_as_a_lapse(
     registry: EndpointRegistry,
     table: EndpointTable,
     clock: Clock,
 ) -> None:
-    """A poll spans a short outage and shows only that all entries are gone.
+    """A poll spans a short outage and shows only that all entries are missing.
 
-    Taking that for true would leave no endpoint for the second that they take
-    to come back.  Nothing may be sent two seconds after a true leaving.
+    Removing them at once would leave no endpoint for the second that they take
+    to return.  If they have really departed, they get no calls after two
+    seconds.
     """
     registry.adopt(change(write('i-1'), write('i-2')))
     registry.adopt(change(drop('i-1'), drop('i-2')))
@@ -143,24 +144,24 @@
     assert not table.all()
 
 
-def test_an_outdated_report_undoes_nothing(
+def test_an_outdated_report_is_ignored(
     registry: EndpointRegistry,
     table: EndpointTable,
 ) -> None:
-    """A report from before an endpoint began to leave arrives after it."""
+    """A report from before an endpoint began to drain arrives late."""
     registry.adopt(change(write('i-1', state='draining', sequence=7)))
     registry.adopt(change(write('i-1', sequence=6)))
     assert table.get('i-1').leaving
 
 
-def test_a_new_life_starts_anew(
+def test_a_new_incarnation_resets_the_state(
     registry: EndpointRegistry,
     table: EndpointTable,
 ) -> None:
-    """An endpoint restarts under its id; its counts begin again.
+    """An endpoint restarts under its id and counts its reports from one.
 
-    What was held against its former life does not hold any more, and its
-    reports are newer although their sequence is lower.
+    Failures of the previous incarnation no longer count, and the new reports
+    are newer although their sequence is lower.
     """
     registry.adopt(change(write('i-1', sequence=90)))
     table.get('i-1').consecutive_failures = 2
@@ -178,12 +179,12 @@
         {'sequence': 'x'},
     ],
 )
-def test_entries_that_make_no_sense_name_no_endpoint(
+def test_invalid_entries_are_excluded(
     registry: EndpointRegistry,
     table: EndpointTable,
     fields: dict[str, object],
 ) -> None:
-    """Another writer spoils an entry; the others hold."""
+    """Another writer corrupts an entry; the other entries stay valid."""
     registry.adopt(change(write('i-1'), write('i-2')))
     registry.adopt(change(write('i-1', **{'sequence': 2, **fields})))
     assert set(table.all()) == {'i-2'}
@@ -192,33 +193,33 @@
 
 
 @pytest.mark.parametrize('whole', [True, False])
-def test_a_spoilt_entry_is_left_however_it_is_told(
+def test_a_corrupt_entry_is_excluded_however_it_is_received(
     registry: EndpointRegistry,
     table: EndpointTable,
     clock: Clock,
     whole: bool,
 ) -> None:
-    """An entry is spoilt just after the store came back.
+    """An entry is corrupted just after the store recovered.
 
-    One instance reads the change from the store, another is told the whole
-    table by it.  A dropped entry would be kept until it had time to come back;
-    this one is there, and names no endpoint, for either of them.
+    One instance reads the change from the store and relays the complete table
+    to another.  A removed entry would be kept for the grace period; a corrupt
+    one exists, so both must exclude its endpoint at once.
     """
-    clock.back_at = clock.now
+    clock.recovered_at = clock.now
     first = change(write('i-1'), write('i-2'))
     registry.adopt(first)
     cache = TableCache(operator.eq)
     cache.update(first)
-    spoilt = TableState(2, [StoredRow('i-1', b'', 2)], whole=False)
-    cache.update(decode(spoilt))
+    corrupt = TableState(2, [StoredRow('i-1', b'', 2)], whole=False)
+    cache.update(decode(corrupt))
     registry.adopt(decode(cache.list_changes(None if whole else 1)))
     assert set(table.all()) == {'i-2'}
 
 
-def test_services_that_are_not_configured_get_no_calls(
+def test_unconfigured_services_get_no_calls(
     registry: EndpointRegistry,
     table: EndpointTable,
 ) -> None:
-    """An entry names a service that no configuration has."""
+    """An entry names a service that is not in the configuration."""
     registry.adopt(change(write('i-1', service='other')))
     assert not table.all()
--- a/tests/ingress/test_misdirected.py
+++ b/tests/ingress/test_misdirected.py
@@ -1,4 +1,4 @@
-"""Endpoints at whose address somebody else answered."""
+"""Endpoints at whose address another one answered with 421."""
 
 import random
 
@@ -34,18 +34,18 @@
 from kelproad.state.work import WorkLedger
 from tests.ingress.test_attempts import build_call
 
-#: Seconds at which the endpoint is misdirected.
+#: Monotonic time of the 421.
 NOW = 1000.0
-#: Seconds within which an endpoint that lives is used again.
+#: Seconds after which a live endpoint is used again.
 SOON = 6.0
 LONG_AGO = float('-inf')
 
 
 class Instance:
-    """What one instance knows of two endpoints of a service."""
+    """The routing state of one instance for two endpoints of a service."""
 
     def __init__(self) -> None:
-        """List both."""
+        """Receive the first reports of both."""
         configuration = RoutingConfiguration.from_declarations(
             1,
             [],
@@ -57,13 +57,13 @@
         holder = ConfigurationHolder()
         holder.current = configuration
         self.table = EndpointTable()
-        reach = ZoneReachability()
+        reachability = ZoneReachability()
         self.registry = EndpointRegistry(self.table, lambda: LONG_AGO, 2)
         self.registry.adopt_configuration(configuration)
-        self.verdicts = AttemptEvaluator(
+        self.evaluator = AttemptEvaluator(
             self.table,
             RetryBudgets(Bounds, lambda: 1),
-            reach,
+            reachability,
             EngineObservations(),
             Counters(),
         )
@@ -72,7 +72,7 @@
             holder,
             self.table,
             WorkLedger(),
-            reach,
+            reachability,
             EngineObservations(),
             None,
             random.Random(1),
@@ -87,7 +87,7 @@
         address: str = '10.0.0.1:80',
         born: int = 0,
     ) -> None:
-        """Take in what an endpoint says of itself."""
+        """Adopt a report of an endpoint from its stored row."""
         entry = {
             'service': 'book',
             'address': address,
@@ -101,15 +101,15 @@
         self.registry.adopt(DecodedState.from_state(changed, decode_endpoint))
 
     def misdirect(self, name: str) -> None:
-        """Send a call to an endpoint and hear that somebody else is there."""
-        self.verdicts.note(
+        """Record that a call to an endpoint was answered with 421."""
+        self.evaluator.note(
             build_call(),
             Placement(self.table.get(name)),
             AttemptFailure('status 421', Ran.NO, misdirected=True),
         )
 
     def list_used(self, later: float) -> set[str]:
-        """List the endpoints that calls go to some seconds later."""
+        """List the endpoints chosen ``later`` seconds after the 421."""
         return {
             self.chooser.choose_among(
                 self.table.in_group('book'),
@@ -123,7 +123,7 @@
 
 @pytest.fixture
 def instance(monkeypatch: pytest.MonkeyPatch) -> Instance:
-    """Give an instance that has just heard a 421 in place of the first."""
+    """Create an instance that has just got a 421 from the first endpoint."""
     monkeypatch.setattr(verdicts_module, 'monotonic', lambda: NOW)
     made = Instance()
     assert made.list_used(0) == {'i-1', 'i-2'}
@@ -131,56 +131,59 @@
     return made
 
 
-def test_one_whose_address_serves_another_is_left(instance: Instance) -> None:
-    """An engine is gone, its entry has not lapsed, its address is reused.
+def test_an_endpoint_whose_address_is_reused_is_excluded(
+    instance: Instance,
+) -> None:
+    """An engine has departed, its entry remains, and its address is reused.
 
-    Any other engine answers 421 to a call that names the one it was meant for.
-    A report that was under way meanwhile doesn't bring it back.
+    The other engine answers 421 to calls that name the departed one.  A report
+    of the departed one that arrives late must not make it usable again.
     """
     assert instance.list_used(1) == {'i-2'}
     instance.report('i-1', 2)
     assert instance.list_used(2) == {'i-2'}
 
 
-def test_one_that_lives_there_is_used_again(instance: Instance) -> None:
-    """A single 421 comes by mistake, and the engine goes on reporting.
+def test_a_live_endpoint_is_used_again(instance: Instance) -> None:
+    """A single 421 is sent by mistake, and the engine goes on reporting.
 
-    It got nothing more from this instance until it was started again, which
-    may be never.  Peers aren't told of reports that say nothing new, so that
-    it is still listed after some seconds must do.
+    It must get calls again without a restart.  Peers don't receive reports
+    without changes, so it is enough that it is still listed after some seconds.
     """
     assert instance.list_used(SOON) == {'i-1', 'i-2'}
 
 
-def test_one_that_has_moved_is_used_at_once(instance: Instance) -> None:
-    """An engine starts again elsewhere, and does not say when it was born.
+def test_an_endpoint_at_a_new_address_is_used_at_once(
+    instance: Instance,
+) -> None:
+    """An engine restarts elsewhere without reporting its time of start.
 
-    The 421 spoke of its former address; at the new one it was never asked.
+    The 421 concerned its previous address only.
     """
     instance.report('i-1', 2, address='10.0.0.9:80')
     assert instance.list_used(0) == {'i-1', 'i-2'}
 
 
-def test_a_new_life_is_used_at_once(instance: Instance) -> None:
-    """An engine starts again where it was, and says so."""
+def test_a_new_incarnation_is_used_at_once(instance: Instance) -> None:
+    """An engine restarts at its address with a new time of start."""
     instance.report('i-1', 1, born=7)
     assert instance.list_used(0) == {'i-1', 'i-2'}
 
 
-def test_one_that_is_misdirected_again_is_left_again(
+def test_an_endpoint_is_excluded_again_if_misdirected_again(
     instance: Instance,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its entry is there after some seconds and somebody else answers yet."""
+    """Its entry is still listed, but another engine answers there."""
     monkeypatch.setattr(verdicts_module, 'monotonic', lambda: NOW + SOON)
     instance.misdirect('i-1')
     assert instance.list_used(SOON + 1) == {'i-2'}
 
 
-def test_no_part_is_read_in_a_zone_out_of_reach(
+def test_helpers_in_an_unreachable_zone_are_excluded(
     instance: Instance,
 ) -> None:
-    """A stream resumed with helpers behind a cut was refused and broken off."""
+    """A stream resumed with unreachable helpers would be aborted."""
     instance.chooser._reachability.record_peer('a', NOW + SOON)
     later = NOW + SOON + 2 * SILENT_SECONDS
     used = instance.table.in_group('book')
