--- a/tests/ingress/test_memory.py
+++ b/tests/ingress/test_memory.py
@@ -1,4 +1,4 @@
-"""Reserving memory when its user goes away meanwhile."""
+"""Memory reservations whose caller leaves meanwhile."""
 
 import asyncio
 
@@ -21,17 +21,17 @@
 
 
 def build_share() -> MemoryShare:
-    """Build what an engine is to reserve."""
+    """Build the share of one engine."""
     declaration = EndpointDeclaration('i-1', 'zone-a', '10.0.0.1:80')
     group = EndpointGroup('writer', EndpointKind.ENGINE, [declaration])
     return MemoryShare(Endpoint(declaration, group), TOKENS)
 
 
-async def test_orders_under_way_are_taken_back() -> None:
-    """An engine holds memory that nobody has asked for any more.
+async def test_reservations_in_flight_are_released() -> None:
+    """A caller leaves while memory is being reserved for its prompt.
 
-    A caller leaves while memory is being reserved for its prompt; the order
-    was on its way, the engine carried it out, and nobody released it.
+    The order has been sent and the engine carries it out; without a release
+    the memory would stay reserved.
     """
     held: set[str] = set()
 
@@ -52,13 +52,13 @@
     async def read_slowdown(_address: str) -> Result[float, str]:
         return Success(1)
 
-    keeper = MemoryReserver(
+    reserver = MemoryReserver(
         EngineOperations(reserve, release, read_slowdown), Bounds
     )
-    reserving = asyncio.create_task(keeper.reserve('a-1', (build_share(),)))
+    reserving = asyncio.create_task(reserver.reserve('a-1', (build_share(),)))
     await asyncio.sleep(0.01)
     assert held
     reserving.cancel()
     await asyncio.wait((reserving,))
-    await keeper.finish(1)
+    await reserver.finish(1)
     assert not held
--- a/tests/ingress/test_memory_site.py
+++ b/tests/ingress/test_memory_site.py
@@ -1,4 +1,4 @@
-"""Memory reserved at engines, when the instance that holds it is gone."""
+"""Release and renewal of memory reserved at engines."""
 
 import contextlib
 import signal
@@ -18,99 +18,102 @@
 from tests.ingress.callers import count_events, stream
 
 ENGINES = ('engine-1', 'engine-2', 'engine-3')
-#: Seconds after which memory that nobody uses any more counts as lost.
+#: Maximum seconds for which unused memory may stay reserved.
 FREE_SECONDS = 4.0
-#: More than one of the engines holds, and less than all of them.
+#: Token counts of a prompt that needs several engines, but not all memory.
 LARGE = '400000,50'
 ROUNDS = 3
-#: Seconds in which a release is carried out, well before a lease lapses.
+#: Seconds for a release to be carried out; well below the duration of a lease.
 RELEASED_SECONDS = 0.5
 
 
 @pytest.fixture
 def site(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RoutedSite]:
-    """Run a site of one instance whose engines take two seconds an event."""
+    """Start a site of one instance; its engines take two seconds per event."""
     with start_routed_site(tmp_path_factory.mktemp('site'), 1) as running:
         for name in ENGINES:
             running.break_endpoint(name, pace=2)
         yield running
 
 
-def stream_unheard(instance: RoutedInstance) -> None:
-    """Ask for a stream whose end does not matter."""
+def stream_ignoring_errors(instance: RoutedInstance) -> None:
+    """Request a stream and ignore a connection that breaks."""
     with contextlib.suppress(OSError, client.HTTPException):
         stream(instance, tokens=LARGE, X_Kelproad_Deadline_Ms='9000')
 
 
-def list_tickets(site: RoutedSite, dark: str = '') -> list[str]:
-    """List what is reserved, at all engines but one that is dark."""
+def list_tickets(site: RoutedSite, frozen: str = '') -> list[str]:
+    """List the reservations at all engines except a frozen one."""
     return [
         ticket
         for name in ENGINES
-        if name != dark
+        if name != frozen
         for ticket in site.show_endpoint(name)['tickets']
     ]
 
 
 def list_running(site: RoutedSite) -> list[str]:
-    """List the engines that a call was sent to."""
+    """List the engines that have got a call."""
     return [name for name in ENGINES if site.show_endpoint(name)['runs']]
 
 
-@pytest.mark.parametrize('sign', [signal.SIGKILL, signal.SIGSTOP])
-def test_memory_of_a_dead_holder_is_free_again(
+@pytest.mark.parametrize('signal_number', [signal.SIGKILL, signal.SIGSTOP])
+def test_memory_of_a_dead_instance_is_released(
     site: RoutedSite,
-    sign: signal.Signals,
+    signal_number: signal.Signals,
 ) -> None:
     """An instance reserves memory for a prompt, and is killed or frozen.
 
-    It never releases what it holds.  Only a live instance renews its short
-    leases, so the memory is free before it counts as lost.
+    It never releases its reservations.  Their leases are short and renewed
+    only by a live instance, so they must expire within ``FREE_SECONDS``.
     """
     instance = site.instances[0]
     threading.Thread(
-        target=stream_unheard,
+        target=stream_ignoring_errors,
         args=(instance,),
         daemon=True,
     ).start()
     wait_for(lambda: bool(list_tickets(site)), 'memory is reserved')
-    instance.process.send_signal(sign)
-    began = time.monotonic()
+    instance.process.send_signal(signal_number)
+    signalled_at = time.monotonic()
     wait_for(lambda: not list_tickets(site), 'memory is free')
-    assert time.monotonic() - began < FREE_SECONDS
+    assert time.monotonic() - signalled_at < FREE_SECONDS
 
 
-def test_memory_is_free_when_the_engine_that_used_it_is_dark(
+def test_memory_is_released_when_its_engine_loses_power(
     site: RoutedSite,
 ) -> None:
-    """An engine loses power before the first event of a review.
+    """An engine loses power before the first event of a long prompt.
 
-    Nothing is reset, and a review may take long: its instance went on waiting
-    and renewing what the helpers held, for eight seconds in a play.
+    No connection is reset, and such a prompt may take long.  If its instance
+    goes on waiting, it also renews the leases at the helper engines: their
+    memory stayed reserved for eight seconds.
     """
     threading.Thread(
-        target=stream_unheard,
+        target=stream_ignoring_errors,
         args=(site.instances[0],),
         daemon=True,
     ).start()
     wait_for(lambda: bool(list_tickets(site)), 'memory is reserved')
     held = set(list_tickets(site))
-    wait_for(lambda: bool(list_running(site)), 'the review is sent')
-    dark = site.endpoint_processes[list_running(site)[0]]
-    dark.freeze()
-    began = time.monotonic()
+    wait_for(lambda: bool(list_running(site)), 'the call is sent')
+    frozen = site.endpoint_processes[list_running(site)[0]]
+    frozen.freeze()
+    frozen_at = time.monotonic()
     try:
-        wait_for(lambda: not held & set(list_tickets(site, dark.name)), 'free')
-        assert time.monotonic() - began < FREE_SECONDS
+        wait_for(
+            lambda: not held & set(list_tickets(site, frozen.name)), 'free'
+        )
+        assert time.monotonic() - frozen_at < FREE_SECONDS
     finally:
-        dark.wake()
+        frozen.wake()
 
 
-def test_memory_is_released_behind_the_last_event(site: RoutedSite) -> None:
-    """An engine is full though nobody uses its memory, for 2.5 s at a time.
+def test_memory_is_released_after_the_last_event(site: RoutedSite) -> None:
+    """A caller closes its connection as soon as it has the last event.
 
-    A caller closes its connection as soon as it has the last event, which
-    cancelled the handling of its call just before the release.
+    If that cancels the handling of its call before the release, the engine
+    stays full for 2.5 s although its memory is unused.
     """
     for name in ENGINES:
         site.break_endpoint(name)
@@ -126,9 +129,9 @@
 
 
 def test_memory_is_kept_while_it_is_used(site: RoutedSite) -> None:
-    """An engine writes for longer than one lease lasts.
+    """An engine decodes for longer than the duration of a lease.
 
-    A reservation that lapsed in between would cut the stream off.
+    A reservation that lapses meanwhile would abort the stream.
     """
     for name in ENGINES:
         site.break_endpoint(name, pace=0.8)
