--- a/tests/ingress/test_exchange.py
+++ b/tests/ingress/test_exchange.py
@@ -189,7 +189,7 @@
     there: Instance,
     clock: Clock,
 ) -> None:
-    """One instance lost the store; a peer may still reachability it."""
+    """One instance lost the store; a peer may still reach it."""
     assert not here.exchange.peers.is_confirmed_elsewhere(clock.now)
     here.exchange.receive(there.build_report())
     assert here.exchange.peers.is_confirmed_elsewhere(clock.now)
@@ -325,15 +325,15 @@
     instance: Instance, clock: Clock, seconds: float
 ) -> UpdatesByHost:
     """Send the reports that are due within some seconds, all peers live."""
-    recorder = UpdatesByHost()
-    instance.exchange._socket = recorder
+    hosts = UpdatesByHost()
+    instance.exchange._socket = hosts
     until = clock.now + seconds
     while clock.now < until:
         for peer in instance.exchange.peers._peers.values():
             peer.received_at = clock.now
         instance.exchange._send_due_reports(instance.ledger.changes, clock.now)
         clock.now += exchange_module._SEND_PERIOD
-    return recorder
+    return hosts
 
 
 def test_an_idle_instance_of_a_large_fleet_reports_rarely(
@@ -343,8 +343,8 @@
     """195 idle instances sent 86,000 datagrams a second without changes."""
     large.exchange._send_due_reports(0, clock.now)
     seconds = 10
-    recorder = send_reports_for(large, clock, seconds)
-    sent = sum(map(len, recorder.sent.values()))
+    hosts = send_reports_for(large, clock, seconds)
+    sent = sum(map(len, hosts.sent.values()))
     assert sent / seconds < 70
 
 
@@ -356,13 +356,13 @@
     large.zones = {'i-near': 'zone-a', 'i-far': 'zone-1'}
     large.ledger.begin('i-near', EndpointWork(1, 5000, 0.1, 1))
     large.ledger.begin('i-far', EndpointWork(1, 7000, 0.1, 1))
-    recorder = send_reports_for(large, clock, 0.1)
-    for host, updates in recorder.sent.items():
+    hosts = send_reports_for(large, clock, 0.1)
+    for host, updates in hosts.sent.items():
         reported = {work.endpoint for work in updates[-1].work}
         zone_number = host.split('.')[1]
         expected = {'0': {'i-near', 'i-far'}, '1': {'i-far'}}
         assert reported == expected.get(zone_number, set())
-    notified = [host for host in recorder.sent if host.startswith('10.1.')]
+    notified = [host for host in hosts.sent if host.startswith('10.1.')]
     assert len(notified) == PEERS_PER_ZONE
     large.ledger.end('i-far', EndpointWork(1, 7000, 0.1, 1))
     ended = send_reports_for(large, clock, 0.1)
--- a/tests/ingress/test_following.py
+++ b/tests/ingress/test_following.py
@@ -32,7 +32,7 @@
         self.told: list[TableState] = []
         self.backoff = 0
 
-    async def query_peer(self, _version: int | None) -> TableState | None:
+    async def ask_peer(self, _version: int | None) -> TableState | None:
         """Answer as another instance, or return ``None`` for no answer."""
         return self.told.pop(0) if self.told else None
 
@@ -68,7 +68,7 @@
         0.8,
         0,
         random.Random(1),
-        PeerTable(script.query_peer, lambda: script.backoff),
+        PeerTable(script.ask_peer, lambda: script.backoff),
     )
 
 
@@ -124,7 +124,7 @@
 async def test_a_stale_answer_is_neither_accepted_nor_fresh(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A replica that lags answers with an older version.
+    """A source that lags answers with an older version.
 
     Its rows would overwrite newer ones, and it does not know the present
     state, so the table must not count as fresher either.
