--- a/tests/ingress/test_exchange.py
+++ b/tests/ingress/test_exchange.py
@@ -31,7 +31,7 @@
         self.now = 1000
 
 
-class Wire:
+class RecordingSocket:
     """A fake socket that records datagrams."""
 
     def __init__(self) -> None:
@@ -81,15 +81,15 @@
             lambda: None,
             lambda endpoint: self.zones.get(endpoint, ''),
         )
-        self.wire = Wire()
-        self.exchange._socket = self.wire
+        self.socket = RecordingSocket()
+        self.exchange._socket = self.socket
 
     def build_report(self) -> bytes:
         """Return the next datagram that it would send."""
         self.exchange.peers.add('somebody', '10.9.9.9')
         works = pack_work(self.ledger.local)
         self.exchange._send(self.exchange.peers._peers.values(), works)
-        return self.wire.datagrams[-1]
+        return self.socket.datagrams[-1]
 
 
 @pytest.fixture
@@ -278,11 +278,11 @@
         WorkExchange._report_changes.fun(instance.exchange)
     )
     await asyncio.sleep(0.1)
-    before = len(instance.wire.datagrams)
+    before = len(instance.socket.datagrams)
     instance.ledger.begin('engine', EndpointWork(calls=1))
     await asyncio.sleep(0.005)
     reporting.cancel()
-    assert len(instance.wire.datagrams) == before + 1
+    assert len(instance.socket.datagrams) == before + 1
 
 
 # Large fleets
--- a/tests/ingress/test_memory_site.py
+++ b/tests/ingress/test_memory_site.py
@@ -52,8 +52,8 @@
     ]
 
 
-def list_running(site: RoutedSite) -> list[str]:
-    """List the engines that have got a call."""
+def list_called_engines(site: RoutedSite) -> list[str]:
+    """List the engines that have run a call."""
     return [name for name in ENGINES if site.show_endpoint(name)['runs']]
 
 
@@ -96,8 +96,8 @@
     ).start()
     wait_for(lambda: bool(list_tickets(site)), 'memory is reserved')
     held = set(list_tickets(site))
-    wait_for(lambda: bool(list_running(site)), 'the call is sent')
-    frozen = site.endpoint_processes[list_running(site)[0]]
+    wait_for(lambda: bool(list_called_engines(site)), 'the call is sent')
+    frozen = site.endpoint_processes[list_called_engines(site)[0]]
     frozen.freeze()
     frozen_at = time.monotonic()
     try:
