--- a/tests/ingress/test_calls_site.py
+++ b/tests/ingress/test_calls_site.py
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def site(running: RoutedSite) -> Iterator[RoutedSite]:
-    """Yield the site; afterwards clear all faults and await healthy endpoints."""
+    """Yield the site; then clear all faults and await healthy endpoints."""
     yield running
     for name in running.endpoints:
         running.break_endpoint(name)
