--- a/tests/ingress/test_placing.py
+++ b/tests/ingress/test_placing.py
@@ -1,4 +1,4 @@
-"""Decisions on where calls go, alone and under a whole load."""
+"""Placement of calls on engines: single decisions and whole loads."""
 
 import math
 import random
@@ -30,7 +30,7 @@
 from kelproad.state.stalls import StallLimits
 from kelproad.state.work import EndpointWork, WorkLedger
 
-#: What the sites of today publish of their engines.
+#: Engine figures as current sites publish them.
 PROFILE = EngineProfile(
     slots=8,
     memory_tokens=232_000,
@@ -43,16 +43,18 @@
     stall_limits=StallLimits.from_gaps((0.25, 0.6, 1)),
 )
 GENERATOR = random.Random(1)
-#: Share in time that either kind must reach, and about a pass in seconds.
+#: Share of either kind of call that must meet its objectives.
 IN_TIME = 0.9
-#: The same under twice the long prompts: what was reached beside three quarters
-#: of them when late ones still disturbed others.
+#: The same with twice as many long prompts.  These shares were reached with
+#: three quarters of those while late prompts still disrupted other streams.
 HEAVY_SHORT_IN_TIME = 0.784
 HEAVY_LONG_IN_TIME = 0.747
-PASS = 0.05
-#: Calls of ten seconds of a heavy load.
+#: Approximate duration of one pass of an engine, in seconds.
+PASS_SECONDS = 0.05
+#: Numbers of calls in ten seconds of a heavy load.
 SUMMARIES = 500
 REVIEWS = 20
+#: A short and a long prompt.
 SUMMARY = CallRequirements(5_000, 6_400, objective=0.3)
 REVIEW = CallRequirements(133_000, 134_000, objective=2.5)
 
@@ -61,23 +63,25 @@
     name: str,
     calls: int = 0,
     context: int = 0,
-    reading: float = 0,
-    patient: int = 0,
+    prefill: float = 0,
+    gap_tolerant: int = 0,
     **more: float,
 ) -> Candidate:
-    """Build an engine with work in flight."""
+    """Build a candidate engine with work in flight."""
     declaration = EndpointDeclaration(name, 'zone-a', '10.0.0.1:80', slots=8)
     group = EndpointGroup('writer', EndpointKind.ENGINE, [declaration])
-    work = EndpointWork(calls, context, reading, 1 if reading else 0, patient)
+    work = EndpointWork(
+        calls, context, prefill, 1 if prefill else 0, gap_tolerant
+    )
     return Candidate(Endpoint(declaration, group), work, **more)
 
 
 def choose(candidates: list[Candidate], need: CallRequirements) -> Placement:
-    """Choose with the profile of today's engines."""
+    """Choose by ``PROFILE``."""
     return choose_engines(candidates, need, PROFILE, GENERATOR)
 
 
-def test_a_short_prompt_joins_an_engine_that_writes() -> None:
+def test_a_short_prompt_joins_a_decoding_engine() -> None:
     """Idle engines stay free for long prompts."""
     placement = choose(
         [build('idle'), build('writing', 3, 15_000), build('other', 1, 5_000)],
@@ -87,17 +91,17 @@
     assert not placement.helpers
 
 
-def test_a_short_prompt_keeps_away_from_a_long_part() -> None:
-    """An engine that reads half a second would bring it late."""
+def test_a_short_prompt_avoids_an_engine_with_a_long_part() -> None:
+    """A prefill of half a second there would make it miss its objective."""
     placement = choose(
-        [build('idle'), build('reading', 3, 15_000, reading=0.5)],
+        [build('idle'), build('reading', 3, 15_000, prefill=0.5)],
         SUMMARY,
     )
     assert placement.primary.name == 'idle'
 
 
 def test_the_nearest_zone_comes_first() -> None:
-    """A stream that crosses zones breaks when they are parted."""
+    """A stream across zones breaks when the link between them fails."""
     placement = choose(
         [build('far', 6, 30_000, delay=0.005), build('near', 1, 5_000)],
         SUMMARY,
@@ -105,8 +109,8 @@
     assert placement.primary.name == 'near'
 
 
-def test_full_engines_are_left() -> None:
-    """Beyond its slots a call would wait for another one's end."""
+def test_full_engines_are_excluded() -> None:
+    """A call beyond its slots would wait until another one ends."""
     placement = choose([build('full', 8, 40_000), build('idle')], SUMMARY)
     assert placement.primary.name == 'idle'
     with pytest.raises(NoPlacementError) as unplaced:
@@ -114,8 +118,8 @@
     assert unplaced.value.worth_waiting
 
 
-def test_a_failing_engine_is_left_to_others() -> None:
-    """Three failures in a row weigh more than any load."""
+def test_a_failing_engine_is_avoided() -> None:
+    """Three failures in a row cost more than any load."""
     placement = choose(
         [build('failing', failing=0.66), build('busy', 5, 25_000)],
         SUMMARY,
@@ -123,11 +127,11 @@
     assert placement.primary.name == 'busy'
 
 
-def test_a_long_prompt_spares_engines_that_write() -> None:
-    """Enough idle engines read it; none that writes is paused."""
+def test_a_long_prompt_avoids_decoding_engines() -> None:
+    """With enough idle engines for the prefill, no running stream stalls."""
     idle = [build(f'idle-{number}') for number in range(6)]
-    writing = [build(f'busy-{number}', 4, 20_000) for number in range(6)]
-    placement = choose(idle + writing, REVIEW)
+    decoding = [build(f'busy-{number}', 4, 20_000) for number in range(6)]
+    placement = choose(idle + decoding, REVIEW)
     names = [
         placement.primary.name,
         *(helper.name for helper in placement.helpers),
@@ -136,47 +140,49 @@
     assert placement.predicted < REVIEW.objective
 
 
-def test_a_long_prompt_beside_streams_is_cut_small() -> None:
-    """All engines write: as many parts as keep each pass short."""
+def test_a_long_prompt_beside_streams_has_short_parts() -> None:
+    """All engines decode: enough parts to keep each pass short."""
     busy = [build(f'busy-{number}', 2, 10_000) for number in range(20)]
     placement = choose(busy, attrs.evolve(REVIEW, prompt_tokens=110_000))
-    writing = PROFILE.predict_decode(2, 10_000)
-    assert (
-        placement.part_seconds + writing <= PROFILE.stall_limits.gap_sensitive
-    )
+    decode = PROFILE.predict_decode(2, 10_000)
+    assert placement.part_seconds + decode <= PROFILE.stall_limits.gap_sensitive
     assert len(placement.helpers) < MAX_PARTS
 
 
-def test_streams_of_long_prompts_bear_longer_parts() -> None:
-    """Reports may pause 0.6 s: their engines can read while they write.
+def test_gap_tolerant_streams_permit_longer_parts() -> None:
+    """Reports tolerate stalls of 0.6 s, so their engines can prefill too.
 
-    Three engines write reports only.  Counted as if a summary were there, the
-    review would have waited for engines without any stream.
+    Engines that only decode reports were treated as if they served a summary,
+    and the review waited for engines without any stream.
     """
-    writing = [build(f'busy-{number}', 2, 90_000) for number in range(5)]
+    sensitive = [build(f'busy-{number}', 2, 90_000) for number in range(5)]
     with pytest.raises(NoPlacementError):
-        choose(writing, REVIEW)
-    patient = [
-        build(f'busy-{number}', 2, 90_000, patient=2) for number in range(5)
+        choose(sensitive, REVIEW)
+    tolerant = [
+        build(f'busy-{number}', 2, 90_000, gap_tolerant=2)
+        for number in range(5)
     ]
-    placement = choose(patient, REVIEW)
+    placement = choose(tolerant, REVIEW)
     assert len(placement.helpers) == 4
     assert placement.part_seconds <= PROFILE.stall_limits.gap_tolerant
 
 
-def test_a_summary_leaves_patient_engines_alone() -> None:
-    """A short stream there would end what such an engine may read."""
+def test_a_short_prompt_avoids_gap_tolerant_engines() -> None:
+    """A gap-sensitive stream there would rule out longer prompt parts."""
     placement = choose(
-        [build('patient', 4, 50_000, patient=4), build('hasty', 2, 10_000)],
+        [
+            build('patient', 4, 50_000, gap_tolerant=4),
+            build('hasty', 2, 10_000),
+        ],
         SUMMARY,
     )
     assert placement.primary.name == 'hasty'
 
 
-def test_a_part_that_is_too_long_for_all_goes_where_least_is_worth() -> None:
-    """A review that must be read now, in parts of 0.8 s.
+def test_a_part_too_long_for_all_goes_where_it_costs_least() -> None:
+    """A review must be prefilled now, in parts of 0.8 s.
 
-    An engine with a report is spared before one with two summaries.
+    An engine with one report is spared rather than one with two summaries.
     """
     engines = [build(f'report-{number}', 1, 46_000, 0.05, 1) for number in '12']
     engines += [build(f'short-{number}', 2, 10_000, 0.05) for number in '12']
@@ -189,13 +195,13 @@
     assert sorted(names) == ['short-1', 'short-2']
 
 
-def test_a_long_prompt_waits_for_engines_and_then_goes() -> None:
-    """Engines read already: it waits, as long as its objective permits.
+def test_a_long_prompt_waits_and_then_uses_few_engines() -> None:
+    """All engines are busy with prefill: it waits while its objective permits.
 
-    Then it takes few engines, those with the fewest streams.
+    Then it uses few engines, those with the fewest streams.
     """
     busy = [
-        build(f'busy-{number}', 4, 20_000, reading=0.15) for number in range(9)
+        build(f'busy-{number}', 4, 20_000, prefill=0.15) for number in range(9)
     ]
     free = [build('light-0', 1, 5_000, 0.1), build('light-1', 1, 5_000, 0.1)]
     with pytest.raises(NoPlacementError) as unplaced:
@@ -206,8 +212,8 @@
     assert len(placement.helpers) <= math.ceil(1.87 / (1.2 * 0.85))
 
 
-def test_memory_is_shared_out_where_no_engine_has_enough() -> None:
-    """A prompt of 300,000 tokens: the rest is reserved at a helper."""
+def test_memory_is_spread_where_no_engine_has_enough() -> None:
+    """A prompt of 300,000 tokens: a helper reserves memory for the rest."""
     engines = [build(f'idle-{number}') for number in range(12)]
     need = CallRequirements(300_000, 301_000, objective=2.5)
     placement = choose(engines, need)
@@ -222,7 +228,7 @@
 
 
 def test_an_engine_that_refuses_to_help_still_answers() -> None:
-    """It drains unseen: as a helper it would have long prompts refused."""
+    """An unreported drain: as a helper it would make long prompts fail."""
     draining = [build(f'draining-{number}', may_help=False) for number in '12']
     idle = [build(f'idle-{number}') for number in range(6)]
     placement = choose(draining + idle, REVIEW)
@@ -231,11 +237,11 @@
     assert choose(draining, SUMMARY).primary.name.startswith('draining')
 
 
-def test_slow_engines_are_left_to_patient_work() -> None:
-    """Engines four times as slow: short streams there broke at their deadline.
+def test_slow_engines_are_avoided() -> None:
+    """On engines four times as slow, short streams broke at their deadline.
 
-    A short prompt goes where it is in time, and a long one is read by the
-    others.
+    A short prompt goes where it meets its objective, and the other engines
+    prefill a long one.
     """
     slow = [build(f'slow-{number}', 1, 5_000, slowdown=4) for number in '123']
     assert choose([*slow, build('idle')], SUMMARY).primary.name == 'idle'
@@ -246,7 +252,7 @@
 
 
 def test_a_call_stays_with_the_endpoints_that_it_was_sent_to() -> None:
-    """Its route permits no further one, but a part may be read elsewhere."""
+    """Its route permits no other, but prompt parts may go elsewhere."""
     engines = [build('first', 2, 10_000)]
     engines += [
         build(f'other-{number}', may_answer=False) for number in range(6)
@@ -256,16 +262,16 @@
     assert placement.helpers
 
 
-def test_what_no_engines_hold_is_hopeless() -> None:
-    """Waiting can't help, so the caller hears it at once."""
+def test_a_prompt_beyond_all_memory_is_not_worth_waiting() -> None:
+    """Waiting can't help, so the call is refused at once."""
     engines = [build(f'idle-{number}') for number in range(3)]
     with pytest.raises(NoPlacementError) as unplaced:
         choose(engines, CallRequirements(900_000, 901_000, objective=2.5))
     assert not unplaced.value.worth_waiting
 
 
-def test_plain_calls_go_near_and_where_it_is_free() -> None:
-    """Distance, queues and failures are weighed in seconds."""
+def test_plain_calls_prefer_near_and_free_endpoints() -> None:
+    """Distance, queues and failures are scored in seconds."""
     near, far = build('near', 8), build('far', delay=0.005)
     assert choose_plain([near, far], GENERATOR, 0.05).primary.name == 'far'
     near = build('near', 1)
@@ -279,20 +285,20 @@
 # Whole loads
 
 
-class Site:
-    """A site's engines under a load, placed by a policy."""
+class EmulatedSite:
+    """Emulated engines of a site under a load that a policy places."""
 
     def __init__(
         self,
         engines: int,
         policy: object,
-        patient: bool = False,
+        gap_tolerant: bool = False,
     ) -> None:
-        """Place by a policy that knows all that is in flight.
+        """Give the policy all the work that is in flight.
 
-        It is told which streams are patient, or that none is.
+        Without ``gap_tolerant`` every stream is recorded as gap-sensitive.
         """
-        self.patient = patient
+        self.gap_tolerant = gap_tolerant
         self.emulation = Emulation(PROFILE, engines)
         self.policy = policy
         self.ledger = WorkLedger()
@@ -300,19 +306,21 @@
             name: build(name).endpoint for name in self.emulation.engines
         }
         self.held: dict[int, list[tuple[str, EndpointWork]]] = {}
-        self.emulation.on_first = self._end_reading
+        self.emulation.on_first = self._end_prefill
         self.emulation.on_end = self._end
-        self.reading: dict[int, list[tuple[str, EndpointWork]]] = {}
+        self.prefills: dict[int, list[tuple[str, EndpointWork]]] = {}
 
-    def expect(self, call: EmulatedCall, need: CallRequirements) -> None:
-        """Have a call arrive at its time."""
+    def schedule_arrival(
+        self, call: EmulatedCall, need: CallRequirements
+    ) -> None:
+        """Schedule the arrival of a call."""
         self.emulation.schedule(
             call.arrived,
             lambda: self.arrive(call, need),
         )
 
     def arrive(self, call: EmulatedCall, need: CallRequirements) -> None:
-        """Place a call, or look again a little later."""
+        """Place a call, or retry 10 ms later."""
         now = self.emulation.now
         waited = attrs.evolve(need, waited=now - call.arrived)
         candidates = [
@@ -335,19 +343,19 @@
             prefill_seconds=placement.part_seconds,
             helping=1,
         )
-        self.reading[call.name] = [(name, part) for name in names]
+        self.prefills[call.name] = [(name, part) for name in names]
         holding = EndpointWork(
             1,
             need.memory_tokens,
-            patient_calls=self.patient and need.objective > 1,
+            patient_calls=self.gap_tolerant and need.objective > 1,
         )
         self.held[call.name] = [(placement.primary.name, holding)]
-        for name, work in (*self.reading[call.name], *self.held[call.name]):
+        for name, work in (*self.prefills[call.name], *self.held[call.name]):
             self.ledger.begin(name, work)
         self.emulation.send(call, names[0], names, placement.part_seconds)
 
-    def _end_reading(self, call: EmulatedCall) -> None:
-        for name, work in self.reading.pop(call.name):
+    def _end_prefill(self, call: EmulatedCall) -> None:
+        for name, work in self.prefills.pop(call.name):
             self.ledger.end(name, work)
 
     def _end(self, call: EmulatedCall) -> None:
@@ -355,28 +363,28 @@
             self.ledger.end(name, work)
 
 
-def choose_least(
+def choose_least_busy(
     candidates: list[Candidate], need: CallRequirements
 ) -> Placement:
-    """Place whole prompts where the fewest calls are, as proxies do."""
+    """Place undivided prompts where the fewest calls are, as proxies do."""
     best = min(candidates, key=lambda candidate: candidate.work.calls)
-    reading = PROFILE.predict_prefill(need.prompt_tokens)
-    return Placement(best.endpoint, part_seconds=reading)
+    prefill = PROFILE.predict_prefill(need.prompt_tokens)
+    return Placement(best.endpoint, part_seconds=prefill)
 
 
-def play(
+def run_load(
     policy: object,
     seed: int = 7,
     reviews: int = REVIEWS,
-    patient: bool = False,
+    gap_tolerant: bool = False,
 ) -> tuple[float, float]:
-    """Play ten seconds of a heavy load; return the shares in time.
+    """Run ten seconds of a heavy load; return the shares in time.
 
-    Per second 50 summaries of some 5,000 tokens and two reviews of some
-    110,000 on 18 engines, which is nearly both bursts of a site at once.
+    50 summaries of some 5,000 tokens and two reviews of some 110,000 arrive per
+    second at 18 engines, which is nearly both bursts of a site at once.
     """
     generator = random.Random(seed)
-    site = Site(18, policy, patient)
+    site = EmulatedSite(18, policy, gap_tolerant)
     limits: dict[int, tuple[float, float]] = {}
     for number in range(SUMMARIES + reviews):
         is_review = number >= SUMMARIES
@@ -387,7 +395,7 @@
         need = CallRequirements(tokens, min(tokens + 1_400, 200_000), objective)
         call = EmulatedCall(number, generator.uniform(0, 10), tokens, 32)
         limits[number] = (objective, gap)
-        site.expect(call, need)
+        site.schedule_arrival(call, need)
     site.emulation.run()
     shares = []
     for numbers in (range(SUMMARIES), range(SUMMARIES, SUMMARIES + reviews)):
@@ -402,59 +410,59 @@
 
 
 def test_short_prompts_stay_in_time_beside_long_ones() -> None:
-    """Crews wait for summaries while the board's reviews are read.
+    """Summaries and long reviews share the engines of a site.
 
-    Placed whole where the fewest calls are, as a plain proxy does, each review
-    pauses the streams of its engine for one to three seconds, and others
-    wait behind it.  Packed and in parts, with few streams disturbed where
-    some must be: summaries in time 0.78 before and 0.92 after, reviews 0.70
-    and 0.95.
+    Placed undivided where the fewest calls are, as a plain proxy does, each
+    review stalls the streams of its engine for one to three seconds, and other
+    calls wait behind it.  Packing calls and splitting prompts so that few
+    streams are disrupted raised summaries in time from 0.78 to 0.92 and reviews
+    from 0.70 to 0.95.
     """
-    plain_short, plain_long = play(choose_least)
-    short, long = play(choose)
+    plain_short, plain_long = run_load(choose_least_busy)
+    short, long = run_load(choose)
     assert short >= IN_TIME
     assert long >= IN_TIME
     assert short > plain_short
     assert long > plain_long
 
 
-def test_patient_streams_make_room_for_long_prompts() -> None:
-    """Engines that write reviews only were left alone though they may read.
+def test_gap_tolerant_streams_make_room_for_long_prompts() -> None:
+    """Engines that only decode reviews got no prefill, though they tolerate it.
 
-    A summary that is late loses a credit, a review eleven.
+    A late summary costs one credit, a late review eleven.
     """
     reviews = 2 * REVIEWS
     credits = {False: 0, True: 0}
-    for patient in credits:
+    for gap_tolerant in credits:
         shorts, longs = 0, 0
         for seed in range(1, 9):
             GENERATOR.seed(seed)
-            short, long = play(choose, seed, reviews, patient)
+            short, long = run_load(choose, seed, reviews, gap_tolerant)
             shorts += short / 8
             longs += long / 8
-        credits[patient] = SUMMARIES * shorts + 11 * reviews * longs
+        credits[gap_tolerant] = SUMMARIES * shorts + 11 * reviews * longs
     assert credits[True] > credits[False]
     assert shorts >= HEAVY_SHORT_IN_TIME
     assert longs >= HEAVY_LONG_IN_TIME
 
 
 def test_predictions_hold_in_the_emulator() -> None:
-    """A prompt alone comes when predicted, give or take half a pass."""
-    site = Site(3, choose)
+    """Without other work the prediction is right to about half a pass."""
+    site = EmulatedSite(3, choose)
     call = EmulatedCall(0, 0, 40_000, 3)
     need = CallRequirements(40_000, 41_000, objective=1.5)
     site.emulation.schedule(0, lambda: site.arrive(call, need))
     site.emulation.run()
-    reading = PROFILE.predict_prefill(40_000)
-    predicted = predict_first_token(build('idle'), reading, PROFILE)
-    assert abs(call.first_at - predicted) < PASS
+    prefill = PROFILE.predict_prefill(40_000)
+    predicted = predict_first_token(build('idle'), prefill, PROFILE)
+    assert abs(call.first_at - predicted) < PASS_SECONDS
 
 
-def test_a_late_prompt_disturbs_few() -> None:
-    """Every engine writes seven streams, and a review has waited enough.
+def test_a_late_prompt_disrupts_few_streams() -> None:
+    """Every engine decodes seven streams, and a review has waited enough.
 
-    Reading it in time would pause 28 callers' streams, so it waits for engines
-    without any, and only near the end of its caller's patience pauses a few.
+    Prefilling it in time would stall 28 streams, so it waits for engines
+    without any, and stalls a few only when its silence timeout is near.
     """
     busy = [build(f'busy-{number}', 7, 20_000) for number in range(18)]
     need = CallRequirements(
@@ -468,12 +476,12 @@
     used = [placement.primary, *placement.helpers]
     assert all(endpoint.name.startswith('idle') for endpoint in used)
     placement = choose(busy, attrs.evolve(need, waited=8.5))
-    paused = 7 * (1 + len(placement.helpers))
-    assert paused <= need.prompt_tokens / TOKENS_PER_STREAM
+    stalled = 7 * (1 + len(placement.helpers))
+    assert stalled <= need.prompt_tokens / TOKENS_PER_STREAM
 
 
-def test_a_prompt_that_cannot_come_in_time_is_refused() -> None:
-    """Its caller will have left, so holding it helps nobody."""
+def test_a_prompt_that_cannot_be_served_in_time_is_refused() -> None:
+    """Its caller will have disconnected before the first token."""
     busy = [build(f'busy-{number}', 7, 20_000, 4) for number in range(18)]
     need = CallRequirements(
         200_000, 201_000, objective=2.5, waited=8.5, silence_timeout=12
@@ -483,11 +491,11 @@
     assert not unplaced.value.worth_waiting
 
 
-def test_a_prompt_that_will_be_late_disturbs_nobody() -> None:
-    """A review of 500,000 tokens can't be read in time by any engines.
+def test_a_prompt_that_will_be_late_disrupts_no_streams() -> None:
+    """No engines can prefill a review of 500,000 tokens in time.
 
-    Spread over all of them it paused every stream of the site for 1.6 s, and
-    callers left; the idle engines read it.
+    Spread over all of them it stalled every stream of the site for 1.6 s, and
+    callers disconnected; only the idle engines prefill it.
     """
     engines = [build(f'idle-{number}') for number in range(9)] + [
         build(f'busy-{number}', 6, 30_000) for number in range(9)
--- a/tests/ingress/test_probing.py
+++ b/tests/ingress/test_probing.py
@@ -1,4 +1,4 @@
-"""Asking by datagram whether tables have changed."""
+"""Queries by datagram whether tables have changed."""
 
 import asyncio
 
@@ -22,16 +22,16 @@
 
 
 class Network:
-    """Hands datagrams on by host, and loses some."""
+    """Network that delivers datagrams by host and loses some."""
 
     def __init__(self) -> None:
-        """Start with nobody on it."""
+        """Start without any instance."""
         self.queries: dict[str, PeerQueries] = {}
         self.sent = 0
         self.lost: set[int] = set()
 
     def join(self, host: str, zone: str) -> TableProbe:
-        """Add an instance."""
+        """Add an instance that reports ``FRESH`` to its own zone only."""
         settings = NodeSettings(
             instance=host,
             zone=zone,
@@ -53,7 +53,7 @@
         return TableProbe(queries)
 
     def send(self, datagram: bytes, address: Address) -> None:
-        """Hand a datagram on, unless it gets lost."""
+        """Deliver a datagram, unless its number is in ``lost``."""
         self.sent += 1
         queries = self.queries.get(address.host)
         if queries is not None and self.sent not in self.lost:
@@ -68,12 +68,12 @@
 READER = describe('10.0.0.1', 'zone-a')
 
 
-def open_relay(probe: TableProbe, choose: ReaderSelector) -> TableRelay:
-    """Open the way to ask for the table; fetching it would fail."""
+def build_relay(probe: TableProbe, selector: ReaderSelector) -> TableRelay:
+    """Build a relay of the table; fetching rows by it would fail."""
     return TableRelay(
         TABLE,
         'zone-a',
-        choose,
+        selector,
         probe.query,
         session=None,
         port=7340,
@@ -81,28 +81,28 @@
     )
 
 
-def choose_reader() -> ReaderSelector:
+def build_selector() -> ReaderSelector:
     """Choose the reader until it is avoided."""
-    own = Reader('10.0.0.2', '10.0.0.2', 'zone-a')
-    return ReaderSelector(lambda: own, lambda _now: [READER])
+    local = Reader('10.0.0.2', '10.0.0.2', 'zone-a')
+    return ReaderSelector(lambda: local, lambda _now: [READER])
 
 
 async def test_what_did_not_change_is_not_fetched() -> None:
-    """38 instances asked their reader 210 times a second by HTTP, at rest."""
+    """38 idle instances sent their reader 210 HTTP queries a second."""
     network = Network()
     network.join('10.0.0.1', 'zone-a')
-    relay = open_relay(network.join('10.0.0.2', 'zone-a'), choose_reader())
-    told = await relay.query(7)
-    assert (told.version, told.rows, told.whole) == (9, [], False)
-    assert told.provenance is Provenance.SAME_ZONE
-    assert told.age >= FRESH.age
+    relay = build_relay(network.join('10.0.0.2', 'zone-a'), build_selector())
+    state = await relay.query(7)
+    assert (state.version, state.rows, state.whole) == (9, [], False)
+    assert state.provenance is Provenance.SAME_ZONE
+    assert state.age >= FRESH.age
     assert network.sent == 2
 
 
 async def test_one_answer_serves_all_tables_and_ages(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A second follower asks while the first one's answer is still fresh."""
+    """A second follower queries while the first one's answer is fresh."""
     clock = [100.0]
 
     def read_clock() -> float:  # noqa: WPS430  closure
@@ -112,45 +112,45 @@
     monkeypatch.setattr(relaying_module, 'read_boottime', read_clock)
     network = Network()
     network.join('10.0.0.1', 'zone-a')
-    relay = open_relay(network.join('10.0.0.2', 'zone-a'), choose_reader())
+    relay = build_relay(network.join('10.0.0.2', 'zone-a'), build_selector())
     await relay.query(7)
     clock[0] += 0.05
-    told = await relay.query(7)
+    state = await relay.query(7)
     assert network.sent == 2
-    assert told.age == pytest.approx(FRESH.age + 0.05)
+    assert state.age == pytest.approx(FRESH.age + 0.05)
 
 
 async def test_a_lost_datagram_is_sent_again() -> None:
-    """One datagram in 40 is lost; its reader must not pass for dead."""
+    """One datagram in 40 is lost; the reader must not be avoided for it."""
     network = Network()
     network.lost = {2}
     network.join('10.0.0.1', 'zone-a')
-    asking = network.join('10.0.0.2', 'zone-a')
-    assert (await asking.query(READER)).tables == {TABLE: FRESH}
+    probe = network.join('10.0.0.2', 'zone-a')
+    assert (await probe.query(READER)).tables == {TABLE: FRESH}
 
 
 async def test_an_instance_that_does_not_answer_is_avoided() -> None:
-    """The reader is frozen: the store must be asked soon in its place."""
+    """The reader is frozen: the store must be read soon instead."""
     network = Network()
-    choice = choose_reader()
-    relay = open_relay(network.join('10.0.0.2', 'zone-a'), choice)
+    selector = build_selector()
+    relay = build_relay(network.join('10.0.0.2', 'zone-a'), selector)
     assert await relay.query(7) is None
-    assert choice.choose(monotonic()) is None
+    assert selector.choose(monotonic()) is None
 
 
-async def test_other_zones_are_not_told_what_was_told_here() -> None:
-    """An instance that was told by a zone would tell it back."""
+async def test_relayed_tables_are_not_reported_to_other_zones() -> None:
+    """Tables received from a zone would be reported back to it."""
     network = Network()
     network.join('10.0.0.1', 'zone-a')
-    asking = network.join('10.0.0.3', 'zone-b')
-    assert not (await asking.query(READER)).tables
+    probe = network.join('10.0.0.3', 'zone-b')
+    assert not (await probe.query(READER)).tables
 
 
 @pytest.mark.parametrize('datagram', [b'', b'\xc1', b'\x93\x01\x05\x80', b'x'])
-async def test_bytes_that_are_no_message_change_nothing(
+async def test_invalid_datagrams_are_ignored(
     datagram: bytes,
 ) -> None:
-    """Anybody may send to the port."""
+    """The port accepts datagrams from any sender."""
     network = Network()
     network.join('10.0.0.1', 'zone-a')
     network.queries['10.0.0.1'].receive(datagram)
