--- a/tests/ingress/test_placing.py
+++ b/tests/ingress/test_placing.py
@@ -310,9 +310,7 @@
         self.emulation.on_end = self._end
         self.prefills: dict[int, list[tuple[str, EndpointWork]]] = {}
 
-    def schedule_arrival(
-        self, call: EmulatedCall, need: CallRequirements
-    ) -> None:
+    def expect(self, call: EmulatedCall, need: CallRequirements) -> None:
         """Schedule the arrival of a call."""
         self.emulation.schedule(
             call.arrived,
@@ -395,7 +393,7 @@
         need = CallRequirements(tokens, min(tokens + 1_400, 200_000), objective)
         call = EmulatedCall(number, generator.uniform(0, 10), tokens, 32)
         limits[number] = (objective, gap)
-        site.schedule_arrival(call, need)
+        site.expect(call, need)
     site.emulation.run()
     shares = []
     for numbers in (range(SUMMARIES), range(SUMMARIES, SUMMARIES + reviews)):
--- a/tests/ingress/test_progress.py
+++ b/tests/ingress/test_progress.py
@@ -8,7 +8,7 @@
 
 
 def test_a_helper_that_refuses_costs_no_endpoint() -> None:
-    """Two helpers that drain unseen made a call be refused after two tries."""
+    """Two helpers with unreported drains used up both attempts of a call."""
     progress = Progress()
     progress.note(REFUSED, 'first', 'draining')
     progress.note(REFUSED, 'second', 'draining-too')
@@ -18,7 +18,7 @@
     assert not progress.may_answer('third', max_endpoints=2)
 
 
-def test_endpoints_that_refuse_are_spent() -> None:
+def test_endpoints_that_refuse_use_up_the_permitted_ones() -> None:
     """A call is sent to no more endpoints than its route permits."""
     progress = Progress()
     progress.note(REFUSED, 'first', 'first')
@@ -27,8 +27,8 @@
     assert progress.is_exhausted(max_endpoints=2)
 
 
-def test_missing_memory_is_not_the_first_ones_fault() -> None:
-    """The engine without memory is left out, and the other one stays."""
+def test_missing_memory_excludes_the_engine_that_lacks_it() -> None:
+    """The engine without free memory is excluded, the primary is not."""
     progress = Progress()
     failure = AttemptFailure(
         'memory could not be reserved',
--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -1,4 +1,4 @@
-"""Tables that instances of a zone tell each other, in place of the store."""
+"""Tables relayed between the instances of a zone in place of the store."""
 
 import contextlib
 import itertools
@@ -30,102 +30,103 @@
 from tests.ingress.callers import call
 from tests.ingress.test_following import Script, follow, state
 
+#: Seconds within which a change must be in force.
 APPLY_SECONDS = 2.0
-#: Age up to which an instance counts as in touch with the store.
+#: Age in seconds up to which an instance's tables count as fresh.
 FRESH_SECONDS = 1.5
 
 
 def row(key: str, version: int, text: bytes | None = b'as ever') -> StoredRow:
-    """Build a row."""
+    """Build a row; None as its text stands for a dropped one."""
     return StoredRow(key, text, version)
 
 
-def cache(*rows: StoredRow, version: int) -> TableCache:
-    """Build a cache that has read these rows."""
-    made = TableCache(operator.eq)
-    made.update(read(TableState(version, list(rows), whole=True)))
-    return made
+def build_cache(*rows: StoredRow, version: int) -> TableCache:
+    """Build a cache that holds these rows."""
+    built = TableCache(operator.eq)
+    built.update(read(TableState(version, list(rows), whole=True)))
+    return built
 
 
 def read(state: TableState) -> DecodedState:
-    """Read of rows what they say: their text."""
-    return DecodedState.from_state(state, lambda held: held.encoded)
+    """Read a state, with the rows' texts as their decoded form."""
+    return DecodedState.from_state(state, lambda stored: stored.encoded)
 
 
-def list_keys(told: TableState) -> list[str]:
-    """List the keys of the rows that were told."""
-    return [told_row.key for told_row in told.rows]
+def list_keys(changes: TableState) -> list[str]:
+    """List the keys of the reported rows."""
+    return [stored.key for stored in changes.rows]
 
 
-# What is told
+# Which rows are reported
 
 
-def test_reports_that_say_nothing_new_are_not_told() -> None:
-    """Each endpoint writes every second or so that it is as it was.
+def test_unchanged_rows_are_not_reported() -> None:
+    """Each endpoint rewrites its row about every second.
 
-    Handing that on would be most of what instances send each other.
+    Forwarding unchanged rows would be most of the traffic between instances.
     """
-    kept = cache(row('i-1', 1), row('i-2', 2), version=5)
+    table_cache = build_cache(row('i-1', 1), row('i-2', 2), version=5)
     changed = [row('i-1', 7), row('i-2', 8, b'leaves')]
-    kept.update(read(TableState(8, changed, whole=False)))
-    told = kept.list_changes(5)
-    assert list_keys(told) == ['i-2']
-    assert told.version == 8
-    assert not told.whole
+    table_cache.update(read(TableState(8, changed, whole=False)))
+    changes = table_cache.list_changes(5)
+    assert list_keys(changes) == ['i-2']
+    assert changes.version == 8
+    assert not changes.whole
 
 
-def test_a_dropped_row_is_told() -> None:
-    """An endpoint is gone: whoever asks later must hear of it."""
-    kept = cache(row('i-1', 1), version=5)
-    kept.update(read(TableState(6, [row('i-1', 6, None)], whole=False)))
-    assert kept.list_changes(5).rows == [row('i-1', 6, None)]
-    assert not kept.list_changes(None).rows
+def test_a_dropped_row_is_reported() -> None:
+    """An endpoint is removed: instances that query later must learn of it."""
+    table_cache = build_cache(row('i-1', 1), version=5)
+    table_cache.update(read(TableState(6, [row('i-1', 6, None)], whole=False)))
+    assert table_cache.list_changes(5).rows == [row('i-1', 6, None)]
+    assert not table_cache.list_changes(None).rows
 
 
-def test_an_unreadable_row_is_told_like_any_other() -> None:
-    """Somebody spoils the entry of an endpoint; an instance asks for all.
+def test_an_unreadable_row_is_reported_like_any_other() -> None:
+    """The entry of an endpoint is corrupt; an instance queries the full table.
 
-    The row is there, only its bytes can't be read.  Left out of a whole table
-    it passed for one that was dropped, which is kept for seconds after the
-    store's return: the instance went on sending there, and its reader did not.
+    Left out of the full table, the row passed for a dropped one, and dropped
+    endpoints are kept for seconds after the store's return: the instance went
+    on sending to the endpoint, and its reader did not.
     """
-    kept = cache(row('i-1', 1), version=5)
-    spoilt = row('i-1', 6, b'')
-    kept.update(read(TableState(6, [spoilt], whole=False)))
-    assert kept.list_changes(5).rows == [spoilt]
-    assert kept.list_changes(None).rows == [spoilt]
+    table_cache = build_cache(row('i-1', 1), version=5)
+    corrupt = row('i-1', 6, b'')
+    table_cache.update(read(TableState(6, [corrupt], whole=False)))
+    assert table_cache.list_changes(5).rows == [corrupt]
+    assert table_cache.list_changes(None).rows == [corrupt]
 
 
-def test_one_that_is_far_behind_is_told_everything() -> None:
-    """What changed before the cache was read is not known to it."""
-    kept = cache(row('i-1', 1), version=5)
-    told = kept.list_changes(4)
-    assert told.whole
-    assert list_keys(told) == ['i-1']
+def test_an_instance_far_behind_gets_the_full_table() -> None:
+    """The cache knows no changes from before it was filled."""
+    table_cache = build_cache(row('i-1', 1), version=5)
+    changes = table_cache.list_changes(4)
+    assert changes.whole
+    assert list_keys(changes) == ['i-1']
 
 
-def test_a_row_that_comes_again_is_told() -> None:
-    """An entry lapses and is back with the text that it had."""
-    kept = cache(row('i-1', 1), version=5)
-    kept.update(read(TableState(6, [row('i-1', 6, None)], whole=False)))
-    kept.update(read(TableState(7, [row('i-1', 7)], whole=False)))
-    assert kept.list_changes(6).rows == [row('i-1', 7)]
+def test_a_restored_row_is_reported() -> None:
+    """An entry lapses and comes back with the same text."""
+    table_cache = build_cache(row('i-1', 1), version=5)
+    table_cache.update(read(TableState(6, [row('i-1', 6, None)], whole=False)))
+    table_cache.update(read(TableState(7, [row('i-1', 7)], whole=False)))
+    assert table_cache.list_changes(6).rows == [row('i-1', 7)]
 
 
-# Who is asked
+# Which instance is queried
 
 
 class Fleet:
-    """Instances of several zones that choose whom to ask, in turns."""
+    """Instances of several zones that choose their readers in turns."""
 
-    def __init__(self, zones: int, mates: int) -> None:
-        """Start all of them together: each has read the store by itself."""
+    def __init__(self, zones: int, zone_size: int) -> None:
+        """Start all of them together, each with a table from the store."""
         self.now = 1000
         self.cut_off: set[str] = set()
         self.instances: dict[str, Reader] = {}
         self.choices: dict[str, ReaderSelector] = {}
-        for zone, mate in itertools.product(range(zones), range(mates)):
-            self.start(f'zone-{zone}', f'edge-{zone}-{mate:02}')
+        for zone, number in itertools.product(range(zones), range(zone_size)):
+            self.start(f'zone-{zone}', f'edge-{zone}-{number:02}')
 
     def start(self, zone: str, name: str) -> None:
         """Start an instance that has just read the store."""
@@ -139,65 +140,69 @@
             ],
         )
 
-    def play(self, rounds: int = 10) -> None:
-        """Have each instance ask whom it chooses, some times over."""
+    def run_queries(self, rounds: int = 10) -> None:
+        """Have each instance query its chosen reader, ``rounds`` times."""
         for name in list(self.instances) * rounds:
             self.now += 0.001
-            self._ask(name)
+            self._query(name)
 
-    def list_by(self, provenance: Provenance) -> list[str]:
-        """List the instances whose tables come from there."""
+    def list_by_provenance(self, provenance: Provenance) -> list[str]:
+        """List the instances whose tables have this provenance."""
         return [
             name
             for name, reader in self.instances.items()
             if reader.provenance is provenance
         ]
 
-    def _ask(self, name: str) -> None:
-        own = self.instances[name]
+    def _query(self, name: str) -> None:
+        current = self.instances[name]
         reader = self.choices[name].choose(self.now)
         if reader is None:
             reached = name not in self.cut_off
             provenance = Provenance.STORE if reached else None
-        elif reader.zone == own.zone:
+        elif reader.zone == current.zone:
             provenance = Provenance.SAME_ZONE
         else:
             provenance = Provenance.OTHER_ZONE
-        self.instances[name] = attrs.evolve(own, provenance=provenance)
+        self.instances[name] = attrs.evolve(current, provenance=provenance)
 
 
 @pytest.mark.parametrize(
-    ('zones', 'mates'),
+    ('zones', 'zone_size'),
     [(1, 1), (3, 3), (3, 27), (5, 39), (8, 51)],
 )
-def test_one_instance_reads_the_store_for_all(zones: int, mates: int) -> None:
-    """Calls to the store must not grow with instances, nor with zones."""
-    fleet = Fleet(zones, mates)
-    fleet.play()
-    assert fleet.list_by(Provenance.STORE) == ['edge-0-00']
-    assert len(fleet.list_by(Provenance.OTHER_ZONE)) == zones - 1
-    assert len(fleet.list_by(Provenance.SAME_ZONE)) == zones * (mates - 1)
+def test_one_instance_reads_the_store_for_all(
+    zones: int, zone_size: int
+) -> None:
+    """The number of calls to the store must not grow with the fleet."""
+    fleet = Fleet(zones, zone_size)
+    fleet.run_queries()
+    assert fleet.list_by_provenance(Provenance.STORE) == ['edge-0-00']
+    assert len(fleet.list_by_provenance(Provenance.OTHER_ZONE)) == zones - 1
+    assert len(fleet.list_by_provenance(Provenance.SAME_ZONE)) == zones * (
+        zone_size - 1
+    )
 
 
 def test_the_loss_of_the_reader_brings_one_other_to_the_store() -> None:
-    """The only reader dies: the others of its zone must not all read."""
+    """The only reader dies: not all others of its zone may read the store."""
     fleet = Fleet(5, 39)
-    fleet.play()
+    fleet.run_queries()
     lost = fleet.instances.pop('edge-0-00')
     fleet.choices.pop('edge-0-00')
-    for choice in fleet.choices.values():
-        choice.avoid(lost, fleet.now)
-    fleet.play()
-    assert len(fleet.list_by(Provenance.STORE)) == 1
+    for selector in fleet.choices.values():
+        selector.avoid(lost, fleet.now)
+    fleet.run_queries()
+    assert len(fleet.list_by_provenance(Provenance.STORE)) == 1
     assert not any(
         reader.provenance is None for reader in fleet.instances.values()
     )
 
 
-def test_an_instance_that_the_store_turns_away_is_told_by_others() -> None:
+def test_an_instance_that_the_store_refuses_queries_others() -> None:
     """The store refuses the first two zones and serves the third."""
     fleet = Fleet(3, 9)
-    fleet.play()
+    fleet.run_queries()
     fleet.cut_off = {
         name
         for name, reader in fleet.instances.items()
@@ -206,42 +211,43 @@
     for name in fleet.cut_off:
         stale = attrs.evolve(fleet.instances[name], provenance=None)
         fleet.instances[name] = stale
-    fleet.play()
-    assert fleet.list_by(Provenance.STORE) == ['edge-2-00']
+    fleet.run_queries()
+    assert fleet.list_by_provenance(Provenance.STORE) == ['edge-2-00']
     assert not any(
         reader.provenance is None for reader in fleet.instances.values()
     )
 
 
-def test_who_tells_others_looks_for_the_store_at_once() -> None:
-    """A zone that was told takes turns, or 38 instances ask together."""
+def test_the_reader_of_a_zone_retries_the_store_at_once() -> None:
+    """The others take turns, or 38 instances would query the store at once."""
     fleet = Fleet(1, 39)
-    fleet.play()
+    fleet.run_queries()
     turns = [
-        choice.measure_backoff(fleet.now) for choice in fleet.choices.values()
+        selector.measure_backoff(fleet.now)
+        for selector in fleet.choices.values()
     ]
     assert not turns[0]
     assert min(turns[1:]) >= 38 * 0.25
     assert not Fleet(1, 1).choices['edge-0-00'].measure_backoff(1000)
 
 
-def test_an_instance_that_failed_is_left_alone() -> None:
-    """The only reader of the zone has died: nobody waits for it again."""
+def test_an_instance_that_failed_is_avoided() -> None:
+    """The only reader of the zone has died: it is not waited for again."""
     fleet = Fleet(1, 2)
-    fleet.play()
-    choice = fleet.choices['edge-0-01']
-    reader = choice.choose(fleet.now)
-    choice.avoid(reader, fleet.now)
-    assert choice.choose(fleet.now + 1) is None
-    assert choice.choose(fleet.now + 4) == reader
+    fleet.run_queries()
+    selector = fleet.choices['edge-0-01']
+    reader = selector.choose(fleet.now)
+    selector.avoid(reader, fleet.now)
+    assert selector.choose(fleet.now + 1) is None
+    assert selector.choose(fleet.now + 4) == reader
 
 
-# What is told to whom
+# Which tables are relayed
 
 
-def test_what_a_zone_was_told_goes_no_further() -> None:
-    """Two instances that ask each other would take old tables for fresh."""
-    may_tell = {
+def test_tables_from_the_zone_are_not_relayed() -> None:
+    """Two instances that query each other would take old tables for fresh."""
+    may_relay = {
         provenance: [
             _FollowedTable(
                 types.SimpleNamespace(provenance=provenance),
@@ -251,7 +257,7 @@
         ]
         for provenance in (*Provenance, None)
     }
-    assert may_tell == {
+    assert may_relay == {
         Provenance.STORE: [True, True],
         Provenance.OTHER_ZONE: [True, False],
         Provenance.SAME_ZONE: [False, False],
@@ -259,13 +265,13 @@
     }
 
 
-# How fresh it is
+# How old the tables are
 
 
-async def test_age_counts_from_before_the_question(
+async def test_age_counts_from_before_the_query(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A teller that read the store 2 s ago makes nothing fresher than that."""
+    """A table that a peer read 2 s ago is 2 s old when its reply arrives."""
     monkeypatch.setattr(following_module, 'read_boottime', lambda: 100)
     script = Script(state(9, whole=True))
     script.told = [
@@ -277,15 +283,15 @@
     assert script.adopted[0].version == 5
 
 
-async def test_a_teller_that_is_behind_undoes_nothing() -> None:
-    """The instance asked next has read less than the one before it."""
+async def test_a_peer_that_is_behind_undoes_nothing() -> None:
+    """The peer queried second has an older version than the first."""
     script = Script(state(9))
     script.told = [
         TableState(7, [row('a', 7)], whole=True),
         TableState(6, [row('a', 4)], whole=True),
     ]
     await follow(script)
-    assert [told.version for told in script.adopted] == [7, 9]
+    assert [adopted.version for adopted in script.adopted] == [7, 9]
 
 
 @pytest.mark.parametrize(
@@ -297,12 +303,12 @@
     ],
 )
 def test_an_unreadable_answer_is_no_answer(received: bytes) -> None:
-    """Bytes that no instance would send change nothing."""
+    """Replies that no instance would send are failures."""
     assert not isinstance(relaying_module._decode_reply(received), Success)
 
 
-def test_a_reader_that_is_behind_is_not_relied_on() -> None:
-    """The store turns just the reader away, and serves all others."""
+def test_tables_of_a_stale_reader_are_discarded() -> None:
+    """The store refuses only the reader, and serves all others."""
     old = relaying_module._decode_reply(
         build_answer(TableState(1, [], whole=True, age=2.1)).body,
     )
@@ -319,16 +325,16 @@
 
 @pytest.fixture
 def site(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RoutedSite]:
-    """Run a site of three instances in one zone, two told by the third."""
+    """Run three instances in one zone, two with tables from the third."""
     with start_routed_site(tmp_path_factory.mktemp('site'), 3) as running:
         wait_for(
-            lambda: all(map(_is_told, running.instances[1:])),
-            'the others are told',
+            lambda: all(map(_is_relayed, running.instances[1:])),
+            'the others receive the table',
         )
         yield running
 
 
-def _is_told(instance: object) -> bool:
+def _is_relayed(instance: object) -> bool:
     return any(
         line['event'] == 'table_told_by_peer' and line['table'] == 'op'
         for line in instance.log_lines
@@ -336,13 +342,13 @@
 
 
 def count_store_calls(site: RoutedSite) -> int:
-    """Count the calls that the store has had."""
+    """Count all calls that the store has received."""
     calls = call_control(site.store, 'GET', '/control/calls')
     return sum(calls.values())
 
 
 def test_the_store_is_read_once_for_a_zone(site: RoutedSite) -> None:
-    """Calls to the store grow with zones, not with instances.
+    """Store traffic does not grow with the instances of a zone.
 
     One instance that follows both tables makes some four calls a second.
     """
@@ -354,21 +360,21 @@
 
 
 @pytest.mark.parametrize('sign', [signal.SIGSTOP, signal.SIGKILL])
-def test_a_change_arrives_without_the_reader(
+def test_a_change_arrives_although_the_reader_fails(
     site: RoutedSite,
     sign: signal.Signals,
 ) -> None:
-    """The reader is frozen, or dies, just before a key is taken away.
+    """The reader is frozen or killed just before a key is revoked.
 
-    The others must not go on by what it told them: within the bound of a
-    change they have the new version, from the store.
+    The others must not rely on the tables that it reported: they get the new
+    version from the store within the time allowed for a change.
     """
     reader, *others = site.instances
     reader.process.send_signal(sign)
     site.put_configuration(keys=('another',))
     began = time.monotonic()
-    with contextlib.ExitStack() as waking:
-        waking.callback(reader.process.send_signal, signal.SIGCONT)
+    with contextlib.ExitStack() as cleanup:
+        cleanup.callback(reader.process.send_signal, signal.SIGCONT)
         wait_for(
             lambda: all(
                 call(instance, '/lookups/x').status == 401
@@ -379,11 +385,11 @@
     assert time.monotonic() - began < APPLY_SECONDS
 
 
-def test_a_woken_reader_tells_nothing_old(site: RoutedSite) -> None:
-    """The reader stands still for seconds, and a key is given out meanwhile.
+def test_a_resumed_reader_reports_nothing_old(site: RoutedSite) -> None:
+    """The reader is suspended for seconds, and a key is issued meanwhile.
 
-    Once it runs again the others ask it; they keep the version that they have
-    from the store, and it takes over again once it knows as much.
+    Once it is resumed the others query it, but keep the newer version that they
+    have from the store; the reader has to catch up.
     """
     reader, *others = site.instances
     reader.process.send_signal(signal.SIGSTOP)
