--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -50,7 +50,7 @@
 
 def read(state: TableState) -> DecodedState:
     """Read a state, with the rows' texts as their decoded form."""
-    return DecodedState.from_state(state, lambda stored: stored.encoded)
+    return DecodedState.from_state(state, lambda held: held.encoded)
 
 
 def list_keys(changes: TableState) -> list[str]:
@@ -125,8 +125,8 @@
         self.cut_off: set[str] = set()
         self.instances: dict[str, Reader] = {}
         self.choices: dict[str, ReaderSelector] = {}
-        for zone, number in itertools.product(range(zones), range(zone_size)):
-            self.start(f'zone-{zone}', f'edge-{zone}-{number:02}')
+        for zone, mate in itertools.product(range(zones), range(zone_size)):
+            self.start(f'zone-{zone}', f'edge-{zone}-{mate:02}')
 
     def start(self, zone: str, name: str) -> None:
         """Start an instance that has just read the store."""
--- a/tests/ingress/test_settings.py
+++ b/tests/ingress/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: read, checked, read again."""
+"""Parsing, validation and reload of the platform's settings file."""
 
 import logging
 import pathlib
@@ -25,20 +25,20 @@
 """
 
 
-def test_fields_are_decoded_once() -> None:
-    """Milliseconds become seconds; unknown fields are passed over."""
+def test_fields_are_decoded() -> None:
+    """Milliseconds become seconds; unknown fields are ignored."""
     settings = parse_node_settings(TEXT, 'file').unwrap()
     assert settings.instance == 'edge-a-1'
     assert settings.caller_address.port == 8227
     assert settings.peer_port == 7340
     assert settings.seed_hosts == ('10.1.0.40', '10.2.0.29')
     assert settings.bounds.revoke_key == 5
-    # Not given: the usual figure holds.
+    # Not in the file, so the default applies.
     assert settings.bounds.retry_ratio == Bounds().retry_ratio
 
 
-def test_what_is_wrong_is_named() -> None:
-    """A missing field, a bad address and a bad number are each named."""
+def test_problems_name_the_field() -> None:
+    """Missing fields, invalid addresses and invalid numbers are each named."""
     for line, name in (
         ('zone=zone-a', 'zone'),
         ('listen.ready=10.1.0.40:8220', 'listen.ready'),
@@ -56,15 +56,15 @@
 def test_a_missing_file_is_a_problem_not_a_crash(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The file isn't there yet."""
+    """The file need not exist yet."""
     assert isinstance(load_node_settings(tmp_path / 'none'), Failure)
 
 
-def test_a_changed_file_is_put_in_force(tmp_path: pathlib.Path) -> None:
+def test_a_changed_file_takes_effect(tmp_path: pathlib.Path) -> None:
     """Operators shorten the grace of a stop while an instance runs.
 
-    The file is written anew, once in the midst of a write and once whole; the
-    half one changes nothing, and an address waits for the next start.
+    A half-written file changes nothing; with the complete one the grace is in
+    force, while a changed address takes effect only after a restart.
     """
     path = tmp_path / 'settings'
     path.write_text(TEXT)
@@ -83,11 +83,11 @@
     assert holder.current.caller_address.port == 8227
 
 
-def test_a_log_line_says_what_a_reload_changed(
+def test_a_log_line_names_what_a_reload_changed(
     tmp_path: pathlib.Path,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A file changes under a running instance, and nobody can tell what did."""
+    """Without it, operators can't see which settings a reload changed."""
     path = tmp_path / 'settings'
     path.write_text(TEXT)
     holder = SettingsHolder(
--- a/tests/ingress/test_soak.py
+++ b/tests/ingress/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and the seeds that it ever failed with."""
+"""Short runs of the soak, also with the seeds that failed before."""
 
 import pathlib
 
@@ -7,9 +7,11 @@
 from testbed.routed import start_routed_site
 from testbed.soak.routed import soak
 
+#: Duration of a run with all kinds of failures, in seconds.
 SECONDS = 6.0
-#: Seeds that are run each time; those that failed stay, with their causes.
+#: Seeds of these runs; seeds that failed stay, with their causes.
 SEEDS = (1,)
+#: Duration of a run with planned stops only, in seconds.
 STOP_SECONDS = 12.0
 #: Seeds of runs in which planned stops are the only failures.
 STOP_SEEDS = (1,)
@@ -22,8 +24,8 @@
 ) -> None:
     """Instances, endpoints, links and the store fail in turn and at once.
 
-    Whatever callers are told must be true of what endpoints ran, and once all
-    is mended everything is answered and nothing is held.
+    The answers to callers must agree with what the endpoints ran.  Once all
+    failures are over, every call is answered and no claim is left.
     """
     with start_routed_site(tmp_path, 0) as site:
         assert not await soak(site, SECONDS, seed)
@@ -34,11 +36,11 @@
     seed: int,
     tmp_path: pathlib.Path,
 ) -> None:
-    """Streams of some seconds end in the midst of their answers.
+    """Streams of some seconds are truncated by a planned stop.
 
-    Instances are told to stop one after another or at once, while callers go
-    on calling them.  One took streams 4 and 5 s after SIGTERM and cut them
-    2 s later at its own end, though it could have refused them as not run.
+    Instances receive SIGTERM one after another or at once, while calls keep
+    coming.  One accepted streams 4 and 5 s after SIGTERM and cut them 2 s later
+    at its exit, though it could have refused them as not run.
     """
     with start_routed_site(tmp_path, 0) as site:
         assert not await soak(site, STOP_SECONDS, seed, only_stops=True)
--- a/tests/ingress/test_soak_checks.py
+++ b/tests/ingress/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""What the soak of the routed interface takes for a broken promise."""
+"""Violations that the soak of the routed interface reports."""
 
 import attrs
 import pytest
@@ -8,29 +8,29 @@
 from testbed.soak.routed_faults import Span
 from testbed.soak.routed_stops import PlannedStop
 
-ASKED = 10.0
-STOP = PlannedStop('edge-1', ASKED, ASKED + 7.3, ASKED + 8, code=0)
-#: When the call of the incident came and was cut, in seconds after SIGTERM.
-CAME = 4.093
+SIGNALLED = 10.0
+STOP = PlannedStop('edge-1', SIGNALLED, SIGNALLED + 7.3, SIGNALLED + 8, code=0)
+#: When the call of an incident arrived and was cut, in seconds after SIGTERM.
+ARRIVED = 4.093
 CUT = 7.154
 
 
 @attrs.define
 class Site:
-    """Endpoints that ran one call between them."""
+    """Endpoints of which at most one ran the call."""
 
     ran_at: str
     endpoints: tuple[str, ...] = ('engine-1', 'engine-2')
 
     def show_endpoint(self, name: str) -> dict[str, object]:
-        """Return what an endpoint ran."""
+        """Return the runs of an endpoint."""
         ran = [{'X-Kelproad-Request-Id': 'a'}]
         return {'runs': ran if name == self.ran_at else []}
 
 
 @attrs.define
 class Faults:
-    """What was done meanwhile."""
+    """Failures that were injected during the call."""
 
     spans: list[Span] = attrs.field(factory=list)
     stops: list[PlannedStop] = attrs.field(factory=lambda: [STOP])
@@ -42,7 +42,7 @@
 
 
 def check(
-    came: float = CAME,
+    arrived: float = ARRIVED,
     cut: float = CUT,
     ran_at: str = 'engine-1',
     status: int = 200,
@@ -50,82 +50,82 @@
     whole: bool = False,
     **meanwhile: object,
 ) -> list[str]:
-    """Check one call, which broke off unless whole, by time since SIGTERM."""
-    told = RoutedTold(
+    """Check a call, truncated unless ``whole``; times are since SIGTERM."""
+    outcome = RoutedTold(
         'a',
         'reports',
         'key',
         'edge-1',
-        ASKED + came,
+        SIGNALLED + arrived,
         deadline,
         events=90,
-        ended_at=ASKED + cut,
+        ended_at=SIGNALLED + cut,
         status=status,
         stamp='stamp.engine-1.a',
         whole=whole,
     )
-    return check_calls(Site(ran_at), [told], Faults(**meanwhile))
+    return check_calls(Site(ran_at), [outcome], Faults(**meanwhile))
 
 
 def find_one(**call: object) -> str:
-    """Check a call that breaks one promise."""
+    """Check a call with exactly one violation and return its text."""
     found = check(**call)
     assert len(found) == 1
     return found[0]
 
 
 def fail(name: str, subject: str, began: float, ended: float) -> list[Span]:
-    """Bring one failure about, by seconds after SIGTERM."""
-    return [Span(name, subject, ASKED + began, ASKED + ended)]
+    """Build the span of one failure, in seconds after SIGTERM."""
+    return [Span(name, subject, SIGNALLED + began, SIGNALLED + ended)]
 
 
-def test_a_stream_taken_late_and_cut_is_found() -> None:
-    """A stream ends in the midst of its answer, and nothing has failed.
+def test_a_stream_accepted_late_and_cut_is_found() -> None:
+    """A stream is truncated although nothing failed.
 
-    Its instance was told to stop, took the stream 4.1 s later and cut it
-    another 3 s later at its own end.  The status was 200, and only calls
-    without any status were looked at, so no soak could see it.
+    Its instance accepted the stream 4.1 s after SIGTERM and cut it 3 s later at
+    its exit.  The status was 200, and the soak checked only calls without any
+    status, so it missed the cut.
     """
     found = find_one()
     assert 'came 4.09 s and was cut 7.15 s after SIGTERM' in found
 
 
-def test_a_call_taken_late_and_never_answered_is_found() -> None:
+def test_a_call_accepted_late_and_never_answered_is_found() -> None:
     """It ran, and the connection ended before the first event."""
-    found = find_one(status=0, cut=CAME + 0.1)
+    found = find_one(status=0, cut=ARRIVED + 0.1)
     assert 'after SIGTERM' in found
 
 
-def test_a_stream_that_came_in_time_may_be_cut_in_the_last_sixth() -> None:
-    """Nobody noticed the stop yet, and its end is near."""
-    assert not check(came=2.9)
+def test_a_stream_that_arrived_in_time_may_be_cut_in_the_last_sixth() -> None:
+    """It arrived before balancers noticed the stop, and the end is near."""
+    assert not check(arrived=2.9)
 
 
-def test_a_stream_that_came_in_time_is_not_cut_earlier() -> None:
-    """The instance gives up more than a sixth of its time before the kill."""
-    found = find_one(came=2.9, cut=6.6)
+def test_a_stream_that_arrived_in_time_is_not_cut_earlier() -> None:
+    """The instance cuts it with over a sixth of the time to the kill left."""
+    found = find_one(arrived=2.9, cut=6.6)
     assert 'cut 6.60 s after SIGTERM' in found
 
 
 @pytest.mark.parametrize(
-    ('came', 'cut', 'ran_at'),
+    ('arrived', 'cut', 'ran_at'),
     [(-0.5, 7.1, ''), (-0.5, 7.1, 'engine-1'), (-0.5, 6.6, ''), (3.1, 7.1, '')],
 )
 def test_a_call_without_any_answer_is_found(
-    came: float,
+    arrived: float,
     cut: float,
     ran_at: str,
 ) -> None:
     """A stream gets no answer within 7 s, and then its connection ends.
 
-    The link to its engine lost it, and its instance was told to stop
-    meanwhile; the end of a stop answers what has not begun.
+    It was lost on the link to its engine, and its instance received SIGTERM
+    meanwhile.  A stop must answer calls whose answer has not begun.
     """
-    assert check(came=came, cut=cut, status=0, ran_at=ran_at)
+    assert check(arrived=arrived, cut=cut, status=0, ran_at=ran_at)
 
 
-def test_a_stream_that_breaks_without_a_failure_is_found() -> None:
-    """Neither a stop nor anything else was brought about."""
+def test_a_stream_truncated_without_a_failure_is_found() -> None:
+    """Neither a stop nor another failure was injected."""
     found = find_one(stops=[])
     assert 'though nothing failed' in found
 
@@ -140,21 +140,21 @@
         ('instance frozen', 'edge-1'),
     ],
 )
-def test_what_was_done_to_a_call_explains_its_cut(
+def test_a_failure_on_the_path_of_a_call_explains_its_cut(
     name: str,
     subject: str,
 ) -> None:
-    """A killed endpoint may have run it, which it has forgotten."""
-    assert not check(spans=fail(name, subject, CAME + 1, CUT), stops=[])
+    """A killed endpoint may have run the call and lost the record of it."""
+    assert not check(spans=fail(name, subject, ARRIVED + 1, CUT), stops=[])
 
 
-def test_a_stamp_tells_the_endpoint_that_forgot_a_call() -> None:
-    """A stream breaks as the link to its engine is reset, and is found.
+def test_a_stamp_identifies_the_endpoint_that_lost_a_run() -> None:
+    """A stream cut by a reset of its engine's link was reported as unexplained.
 
-    Its engine was killed some seconds later and forgot what it ran, so nothing
-    joined the stream to the link; the stamp of the answer does.
+    The engine was killed some seconds later and lost its record of runs; only
+    the stamp of the answer still relates the stream to that engine and link.
     """
-    spans = fail('link harmed', 'engine-1: reset', CAME + 1, CUT)
+    spans = fail('link harmed', 'engine-1: reset', ARRIVED + 1, CUT)
     assert not check(ran_at='', stops=[], spans=spans)
 
 
@@ -177,30 +177,30 @@
         ('instance stopped', 'edge-1, exit code -15'),
     ],
 )
-def test_what_was_done_to_others_explains_nothing(
+def test_failures_elsewhere_explain_nothing(
     name: str,
     subject: str,
 ) -> None:
-    """The call's own endpoint, link and instance were well."""
-    assert check(spans=fail(name, subject, CAME + 1, CUT))
+    """The endpoint, link and instance of the call did not fail."""
+    assert check(spans=fail(name, subject, ARRIVED + 1, CUT))
 
 
 def test_a_failure_that_was_over_explains_nothing() -> None:
-    """Its engine was mended before the call was sent."""
-    spans = fail('endpoint fails', "engine-1: {'hang': True}", 0, CAME - 0.1)
+    """Its engine had recovered before the call was sent."""
+    spans = fail('endpoint fails', "engine-1: {'hang': True}", 0, ARRIVED - 0.1)
     assert check(spans=spans)
 
 
 def test_the_deadline_of_a_call_explains_its_end() -> None:
-    """Its caller wanted no more of it."""
-    assert not check(deadline=CUT - CAME)
+    """Its caller had stopped waiting for it."""
+    assert not check(deadline=CUT - ARRIVED)
 
 
-def test_a_kill_during_a_stop_excuses_calls_around_it_only() -> None:
-    """The platform kills before the time of the stop is over."""
+def test_a_kill_during_a_stop_explains_only_calls_around_it() -> None:
+    """The platform kills the instance before the time of its stop is over."""
     killed = attrs.evolve(STOP, code=-9, killed_at=STOP.ended_at)
     assert not check(stops=[killed])
-    assert check(stops=[killed], cut=CAME + 1)
+    assert check(stops=[killed], cut=ARRIVED + 1)
 
 
 @pytest.mark.parametrize(
@@ -211,28 +211,30 @@
         (1, False, 'exit code 1'),
     ],
 )
-def test_an_improper_end_of_a_process_is_found(
+def test_an_improper_exit_of_a_process_is_found(
     code: int,
     overdue: bool,
     problem: str,
 ) -> None:
-    """It dies of a second signal, is late, or tells of a cut nobody saw."""
+    """It dies of a second signal, is overdue, or reports a cut not observed."""
     stop = attrs.evolve(STOP, code=code, overdue=overdue)
-    found = find_one(came=-3, cut=-1, deadline=2, stops=[stop])
+    found = find_one(arrived=-3, cut=-1, deadline=2, stops=[stop])
     assert found.startswith(f'edge-1: {problem};')
 
 
 def test_a_call_cut_at_the_end_explains_exit_code_one() -> None:
-    """It came in time, and the process says that it was cut."""
-    assert not check(came=2.9, stops=[attrs.evolve(STOP, code=1)])
+    """The call arrived in time, and the process reports the cut."""
+    assert not check(arrived=2.9, stops=[attrs.evolve(STOP, code=1)])
 
 
-def test_a_call_given_up_at_the_end_explains_exit_code_one() -> None:
-    """Its endpoint was silent, and its caller was told so at the end.
+def test_a_call_failed_at_the_end_explains_exit_code_one() -> None:
+    """Its endpoint was silent, and its caller got a 502 at the end of the stop.
 
-    One that was refused when it came was never in hand.
+    A call that was refused on arrival was never in flight, so it explains none.
     """
     stops = [attrs.evolve(STOP, code=1)]
-    assert not check(came=2.5, status=502, whole=True, stops=stops)
-    assert check(came=CUT - 0.1, status=503, whole=True, ran_at='', stops=stops)
-    assert check(came=2.5, cut=5, status=502, whole=True, stops=stops)
+    assert not check(arrived=2.5, status=502, whole=True, stops=stops)
+    assert check(
+        arrived=CUT - 0.1, status=503, whole=True, ran_at='', stops=stops
+    )
+    assert check(arrived=2.5, cut=5, status=502, whole=True, stops=stops)
--- a/tests/ingress/test_spillover.py
+++ b/tests/ingress/test_spillover.py
@@ -1,4 +1,4 @@
-"""Engines of other zones: what is known of them, and when they are used."""
+"""Engines of other zones: the work known there, and when they are used."""
 
 import asyncio
 import random
@@ -38,11 +38,11 @@
 NOW = 1000.0
 
 
-class There:
-    """An instance of zone b with its view of the engines there."""
+class RemoteInstance:
+    """Instance of zone b with its view of the engines there."""
 
     def __init__(self) -> None:
-        """Know engines of two zones, and work of two zones at them."""
+        """Set up engines of two zones, and work from two zones at them."""
         self.table = EndpointTable()
         declarations = [
             EndpointDeclaration(f'i-{zone}', f'zone-{zone}', '10.0.0.1:80')
@@ -59,10 +59,10 @@
         from_a = {'i-b': EndpointWork(1, 5000, 0.1, 1)}
         self.ledger.accept_peer('edge-a', from_a, NOW)
 
-    def answer(self, question: WorkQuery) -> WorkReply:
-        """Answer what is in flight in zone b."""
+    def answer(self, query: WorkQuery) -> WorkReply:
+        """Answer with the work in flight in zone b."""
         return answer_work_query(
-            question,
+            query,
             'zone-b',
             self.table,
             self.ledger,
@@ -71,13 +71,13 @@
         )
 
 
-class Line:
-    """Stands in for the queries, with an instance at the other end."""
+class FakeQueries:
+    """Stand-in for the queries, connected to one remote instance."""
 
-    def __init__(self, there: There) -> None:
-        """Reach an instance."""
-        self.there = there
-        self.asked = 0
+    def __init__(self, remote: RemoteInstance) -> None:
+        """Connect to a remote instance."""
+        self.remote = remote
+        self.sent = 0
         self.silent = False
 
     async def query(
@@ -86,26 +86,26 @@
         host: str,
         _seconds: float,
     ) -> WorkReply | None:
-        """Hand a question on, and its answer back."""
-        self.asked += 1
+        """Return the reply of the remote instance, or None while ``silent``."""
+        self.sent += 1
         if self.silent:
             return None
-        return self.there.answer(kind(1, '10.0.0.1', 'zone-a'))
+        return self.remote.answer(kind(1, '10.0.0.1', 'zone-a'))
 
 
-class Here:
-    """What knows the other zones' engines at an instance of zone a."""
+class LocalInstance:
+    """Spillover of an instance of zone a, with its ledger and queries."""
 
-    def __init__(self, others: int) -> None:
-        """Have as many instances in zone b."""
-        self.line = Line(There())
+    def __init__(self, remote_peers: int) -> None:
+        """Register as many instances of zone b."""
+        self.queries = FakeQueries(RemoteInstance())
         self.ledger = WorkLedger()
         peers = register('edge-a', 'zone-a')
-        for number in range(others):
+        for number in range(remote_peers):
             peers.add(f'edge-b-{number}', f'10.0.1.{number}', 'zone-b')
         self.spillover = ZoneSpillover(
             'zone-a',
-            self.line,
+            self.queries,
             peers,
             ZoneReachability(),
             self.ledger,
@@ -130,63 +130,65 @@
 
 @pytest.fixture(autouse=True)
 def clock(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Put a clock of the test's own in the place of the real one."""
-    own = [NOW]
-    monkeypatch.setattr(spillover_module, 'monotonic', lambda: own[0])
-    monkeypatch.setattr(choosing_module, 'monotonic', lambda: own[0])
-    return own
-
-
-async def test_work_at_far_engines_counts_once() -> None:
-    """What the own zone sent there is heard from its instances already."""
-    here = Here(others=MAX_FULL_MESH_PEERS + 1)
-    here.ledger.accept_peer('mate', {'i-b': EndpointWork(1, 5000, 0.1, 1)}, NOW)
-    await here.spillover.refresh()
-    known = here.ledger.sum_at('i-b', NOW)
+    """Replace the clock by one that the test sets."""
+    current = [NOW]
+    monkeypatch.setattr(spillover_module, 'monotonic', lambda: current[0])
+    monkeypatch.setattr(choosing_module, 'monotonic', lambda: current[0])
+    return current
+
+
+async def test_work_at_remote_engines_counts_once() -> None:
+    """Work from the local zone is already reported by its instances."""
+    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+    local.ledger.accept_peer(
+        'mate', {'i-b': EndpointWork(1, 5000, 0.1, 1)}, NOW
+    )
+    await local.spillover.refresh()
+    known = local.ledger.sum_at('i-b', NOW)
     assert (known.calls, known.context_tokens) == (3, 14_000)
-    # Of other zones' engines the zone knows less than they do.
-    assert here.ledger.sum_at('i-a', NOW).idle
+    # A reply covers only the engines of the zone that sent it.
+    assert local.ledger.sum_at('i-a', NOW).idle
 
 
-async def test_other_zones_are_asked_once_while_calls_wait(
+async def test_other_zones_are_queried_once_while_calls_wait(
     clock: list[float],
 ) -> None:
-    """Each waiting call looks for engines every 10 ms."""
-    here = Here(others=MAX_FULL_MESH_PEERS + 1)
-    assert not here.spillover.has_current_work('zone-b', clock[0])
+    """Each waiting call checks for engines every 10 ms."""
+    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+    assert not local.spillover.has_current_work('zone-b', clock[0])
     for _ in range(5):
-        await asyncio.gather(*(here.spillover.refresh() for _ in range(4)))
+        await asyncio.gather(*(local.spillover.refresh() for _ in range(4)))
         clock[0] += 0.01
-    assert here.line.asked == 1
-    assert here.spillover.has_current_work('zone-b', clock[0])
-    assert not here.spillover.has_current_work('zone-b', clock[0] + 1)
+    assert local.queries.sent == 1
+    assert local.spillover.has_current_work('zone-b', clock[0])
+    assert not local.spillover.has_current_work('zone-b', clock[0] + 1)
 
 
 async def test_a_zone_that_does_not_answer_is_not_used() -> None:
-    """Nothing is known of its engines: each would look idle, and be full."""
-    here = Here(others=MAX_FULL_MESH_PEERS + 1)
-    here.line.silent = True
-    await here.spillover.refresh()
-    assert not here.spillover.has_current_work('zone-b', NOW)
-    assert here.spillover.has_current_work('zone-a', NOW)
+    """Without a reply its engines would seem idle, though they may be full."""
+    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+    local.queries.silent = True
+    await local.spillover.refresh()
+    assert not local.spillover.has_current_work('zone-b', NOW)
+    assert local.spillover.has_current_work('zone-a', NOW)
 
 
-def test_a_small_fleet_knows_all_engines_anyway() -> None:
-    """There each instance tells each other one of all its work."""
-    here = Here(others=MAX_FULL_MESH_PEERS)
-    assert not here.spillover.is_needed
-    assert here.spillover.has_current_work('zone-b', NOW)
+def test_a_small_fleet_needs_no_queries() -> None:
+    """In a full mesh each instance reports its work to all others."""
+    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS)
+    assert not local.spillover.is_needed
+    assert local.spillover.has_current_work('zone-b', NOW)
 
 
 # Where calls are placed
 
 
 class Placer:
-    """Chooses for calls of an instance of zone a in a large fleet."""
+    """Placement of calls by an instance of zone a in a large fleet."""
 
     def __init__(self) -> None:
-        """Know two engines in zone a, and those of zone b when asked."""
-        self.here = Here(others=MAX_FULL_MESH_PEERS + 1)
+        """Set up two engines in zone a and one in zone b."""
+        self.local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
         self.table = EndpointTable()
         declarations = [
             EndpointDeclaration(name, zone, '10.0.0.1:80', slots=2)
@@ -203,15 +205,15 @@
             'zone-a',
             holder,
             self.table,
-            self.here.ledger,
+            self.local.ledger,
             ZoneReachability(),
             EngineObservations(),
-            self.here.spillover,
+            self.local.spillover,
             random.Random(1),
         )
 
     async def place(self) -> str:
-        """Place a short prompt; return its engine."""
+        """Place a short prompt and return its engine."""
         placement = await self.chooser.choose(build_call(), Progress())
         return placement.primary.name
 
@@ -237,27 +239,27 @@
     return Call(head, route, 'writer', None, b'', NOW, NOW + 10)
 
 
-async def test_a_call_stays_in_its_zone_while_that_can_take_it() -> None:
-    """Only the own zone's engines are known exactly, and cost no bytes."""
+async def test_a_call_stays_in_its_zone_while_that_has_room() -> None:
+    """Local engines are known exactly, without queries."""
     placer = Placer()
     assert await placer.place() in {'i-a', 'i-a2'}
-    assert not placer.here.line.asked
+    assert not placer.local.queries.sent
 
 
 async def test_a_call_goes_to_another_zone_when_its_own_is_full() -> None:
-    """A burst in one zone waited while engines elsewhere were idle."""
+    """Calls of a burst in one zone waited while engines elsewhere were idle."""
     placer = Placer()
     for name in ('i-a', 'i-a2'):
-        placer.here.ledger.begin(name, EndpointWork(2, 10_000))
-    placer.here.line.there.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
+        placer.local.ledger.begin(name, EndpointWork(2, 10_000))
+    placer.local.queries.remote.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
     assert await placer.place() == 'i-b'
-    assert placer.here.line.asked == 1
+    assert placer.local.queries.sent == 1
 
 
 async def test_a_failing_engine_is_not_preferred_for_being_near() -> None:
-    """All engines of a zone fail at once; the sound ones are elsewhere."""
+    """All engines of a zone fail at once; the healthy ones are elsewhere."""
     placer = Placer()
     for name in ('i-a', 'i-a2'):
         placer.table.get(name).ejected_until = float('inf')
-    placer.here.line.there.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
+    placer.local.queries.remote.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
     assert await placer.place() == 'i-b'
