--- a/tests/ingress/test_spillover.py
+++ b/tests/ingress/test_spillover.py
@@ -139,45 +139,43 @@
 
 async def test_work_at_remote_engines_counts_once() -> None:
     """Work from the local zone is already reported by its instances."""
-    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
-    local.ledger.accept_peer(
-        'mate', {'i-b': EndpointWork(1, 5000, 0.1, 1)}, NOW
-    )
-    await local.spillover.refresh()
-    known = local.ledger.sum_at('i-b', NOW)
+    here = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+    here.ledger.accept_peer('mate', {'i-b': EndpointWork(1, 5000, 0.1, 1)}, NOW)
+    await here.spillover.refresh()
+    known = here.ledger.sum_at('i-b', NOW)
     assert (known.calls, known.context_tokens) == (3, 14_000)
     # A reply covers only the engines of the zone that sent it.
-    assert local.ledger.sum_at('i-a', NOW).idle
+    assert here.ledger.sum_at('i-a', NOW).idle
 
 
 async def test_other_zones_are_queried_once_while_calls_wait(
     clock: list[float],
 ) -> None:
     """Each waiting call checks for engines every 10 ms."""
-    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
-    assert not local.spillover.has_current_work('zone-b', clock[0])
+    here = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+    assert not here.spillover.has_current_work('zone-b', clock[0])
     for _ in range(5):
-        await asyncio.gather(*(local.spillover.refresh() for _ in range(4)))
+        await asyncio.gather(*(here.spillover.refresh() for _ in range(4)))
         clock[0] += 0.01
-    assert local.queries.sent == 1
-    assert local.spillover.has_current_work('zone-b', clock[0])
-    assert not local.spillover.has_current_work('zone-b', clock[0] + 1)
+    assert here.queries.sent == 1
+    assert here.spillover.has_current_work('zone-b', clock[0])
+    assert not here.spillover.has_current_work('zone-b', clock[0] + 1)
 
 
 async def test_a_zone_that_does_not_answer_is_not_used() -> None:
     """Without a reply its engines would seem idle, though they may be full."""
-    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
-    local.queries.silent = True
-    await local.spillover.refresh()
-    assert not local.spillover.has_current_work('zone-b', NOW)
-    assert local.spillover.has_current_work('zone-a', NOW)
+    here = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+    here.queries.silent = True
+    await here.spillover.refresh()
+    assert not here.spillover.has_current_work('zone-b', NOW)
+    assert here.spillover.has_current_work('zone-a', NOW)
 
 
 def test_a_small_fleet_needs_no_queries() -> None:
     """In a full mesh each instance reports its work to all others."""
-    local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS)
-    assert not local.spillover.is_needed
-    assert local.spillover.has_current_work('zone-b', NOW)
+    here = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS)
+    assert not here.spillover.is_needed
+    assert here.spillover.has_current_work('zone-b', NOW)
 
 
 # Where calls are placed
@@ -188,7 +186,7 @@
 
     def __init__(self) -> None:
         """Set up two engines in zone a and one in zone b."""
-        self.local = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
+        self.here = LocalInstance(remote_peers=MAX_FULL_MESH_PEERS + 1)
         self.table = EndpointTable()
         declarations = [
             EndpointDeclaration(name, zone, '10.0.0.1:80', slots=2)
@@ -205,10 +203,10 @@
             'zone-a',
             holder,
             self.table,
-            self.local.ledger,
+            self.here.ledger,
             ZoneReachability(),
             EngineObservations(),
-            self.local.spillover,
+            self.here.spillover,
             random.Random(1),
         )
 
@@ -243,17 +241,17 @@
     """Local engines are known exactly, without queries."""
     placer = Placer()
     assert await placer.place() in {'i-a', 'i-a2'}
-    assert not placer.local.queries.sent
+    assert not placer.here.queries.sent
 
 
 async def test_a_call_goes_to_another_zone_when_its_own_is_full() -> None:
     """Calls of a burst in one zone waited while engines elsewhere were idle."""
     placer = Placer()
     for name in ('i-a', 'i-a2'):
-        placer.local.ledger.begin(name, EndpointWork(2, 10_000))
-    placer.local.queries.remote.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
+        placer.here.ledger.begin(name, EndpointWork(2, 10_000))
+    placer.here.queries.remote.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
     assert await placer.place() == 'i-b'
-    assert placer.local.queries.sent == 1
+    assert placer.here.queries.sent == 1
 
 
 async def test_a_failing_engine_is_not_preferred_for_being_near() -> None:
@@ -261,5 +259,5 @@
     placer = Placer()
     for name in ('i-a', 'i-a2'):
         placer.table.get(name).ejected_until = float('inf')
-    placer.local.queries.remote.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
+    placer.here.queries.remote.ledger.end('i-b', EndpointWork(2, 9000, 0.2, 1))
     assert await placer.place() == 'i-b'
--- a/tests/ingress/test_stops_site.py
+++ b/tests/ingress/test_stops_site.py
@@ -1,4 +1,4 @@
-"""Planned stops of an instance: what callers see until the process is gone."""
+"""Planned stops of an instance, as callers see them until it exits."""
 
 import contextlib
 import signal
@@ -29,7 +29,9 @@
 )
 
 ENGINES = ('engine-1', 'engine-2', 'engine-3')
+#: Seconds within which a refusal must arrive.
 SLACK = 0.2
+#: Size in bytes of a small receive buffer.
 PAGE = 4096
 #: Bytes that do not fit into the buffers of a connection.
 LONG_ANSWER = 6_000_000
@@ -47,10 +49,10 @@
     event: str,
     request_id: str,
 ) -> dict[str, object]:
-    """Wait for the line of an instance's log that tells of a call."""
+    """Wait for the first line of a log with this event of a call."""
     found: list[dict[str, object]] = []
 
-    def look() -> bool:
+    def search() -> bool:
         found.extend(
             line
             for line in instance.log_lines
@@ -58,7 +60,7 @@
         )
         return bool(found)
 
-    wait_for(look, f'{event} of {request_id}')
+    wait_for(search, f'{event} of {request_id}')
     return found[0]
 
 
@@ -67,7 +69,7 @@
     instance: RoutedInstance,
     results: list[Answer],
 ) -> threading.Thread:
-    """Stop an instance that a stream of 4.5 s keeps from ending at once."""
+    """Stop an instance while it forwards a stream of 4.5 s."""
     for name in ENGINES:
         site.break_endpoint(name, pace=0.9, events=5)
     thread = run_aside(
@@ -80,10 +82,10 @@
 
 
 def test_a_planned_stop_cuts_nothing(site: RoutedSite) -> None:
-    """An instance is told to stop while it hands on a stream.
+    """An instance receives SIGTERM while it forwards a stream.
 
-    The stream comes whole, callers on kept connections are told to leave, and
-    the balancer hears at once that no more should come.
+    The stream is complete, responses close kept-alive connections, and the
+    readiness check fails at once so that the balancer sends no more calls.
     """
     instance = site.instances[0]
     for name in ENGINES:
@@ -105,11 +107,11 @@
 
 
 def test_a_stop_refuses_what_it_would_cut(site: RoutedSite) -> None:
-    """A balancer goes on sending to an instance that stops.
+    """A balancer keeps sending calls to an instance that is stopping.
 
-    No other instance of the zone is in rotation, so a long stream comes five
-    seconds after SIGTERM; it was taken, and cut in its midst at the kill.  Now
-    the caller hears at once that it has not run, and goes to another one.
+    No other instance of the zone is in rotation, so a long stream arrives
+    seconds after SIGTERM; it was accepted, and truncated by the kill.  It must
+    be refused at once as not run, so that the caller can try another instance.
     """
     instance = site.instances[0]
     results: list[Answer] = []
@@ -126,15 +128,14 @@
     assert instance.process.wait(8) == 0
 
 
-def test_a_stop_takes_no_stream_that_it_may_cut(site: RoutedSite) -> None:
-    """A caller's stream, sent seconds after SIGTERM, ends in its midst.
+def test_a_stop_accepts_no_stream_that_it_may_cut(site: RoutedSite) -> None:
+    """A stream that was sent seconds after SIGTERM is truncated.
 
-    A balancer goes on sending to an instance that stops when a zone has few
-    others.  The instance took the stream, and was gone before it ended: once
-    without weighing the time left, later by a guess from usual passes, while
-    this engine is slower than usual.  Evidence: cut streams all ended at one
-    time after SIGTERM, the end that a stop sets itself, while their engines
-    were at work; here the stream took 4.5 s where 1.1 s were expected.
+    A balancer keeps sending to an instance that is stopping when a zone has few
+    others.  The instance accepted the stream and exited before its end: first
+    without comparing its duration with the time left, later by an estimate
+    from usual passes, which a slow engine exceeds.  Here the stream takes 4.5 s
+    where 1.1 s are expected.
     """
     instance = site.instances[0]
     results: list[Answer] = []
@@ -146,7 +147,7 @@
     assert late.seconds < SLACK
     assert float(late.headers['Retry-After']) < SLACK
     assert site.count_runs(late.request_id) == 0
-    # What ends before the stop does, whatever happens, is still taken.
+    # A call whose deadline is before the end of the stop is still accepted.
     brief = stream(instance, X_Kelproad_Deadline_Ms='2500')
     assert brief.status == 200
     thread.join()
@@ -154,13 +155,13 @@
     assert instance.process.wait(8) == 0
 
 
-def test_a_stop_answers_what_it_can_not_finish(site: RoutedSite) -> None:
-    """A caller waits for the first byte of an answer when a stop ends.
+def test_a_stop_answers_calls_that_it_cannot_finish(site: RoutedSite) -> None:
+    """Calls without a first byte of their answer are in flight at a stop's end.
 
-    A booking hangs at its endpoint, an engine writes nothing, and a body is
-    still on its way when the instance reaches the end of its time.  The
-    connections ended without an answer, and the callers could not tell whether
-    anything had run.  Cause: the end of a stop cancelled what was in hand.
+    A booking hangs at its endpoint, an engine sends nothing, and a request body
+    is incomplete.  The end of a stop cancelled these calls and closed their
+    connections without an answer, so callers could not know whether anything
+    had run.
     """
     long = {'timeout_ms': 20_000, 'route_type': 'non_idempotent'}
     site.put_configuration(
@@ -189,22 +190,22 @@
         )
         time.sleep(0.3)
         instance.process.send_signal(signal.SIGTERM)
-        unsent = slow.recv(4096)
+        incomplete = slow.recv(4096)
     for thread in threads:
         thread.join()
-    # What was sent on may have run; what had not come whole has not.
+    # Forwarded calls may have run, the one with an incomplete body has not.
     assert [answer.status for answer in sent] == [502, 502]
     assert all('Retry-After' not in answer.headers for answer in sent)
-    assert unsent.startswith(b'HTTP/1.1 503')
+    assert incomplete.startswith(b'HTTP/1.1 503')
     assert instance.process.wait(8) == 1
 
 
-def test_a_stop_sends_no_stream_on_that_it_may_cut(site: RoutedSite) -> None:
-    """A caller's stream, taken right after SIGTERM, ends in its midst.
+def test_a_stop_retries_no_stream_that_it_may_cut(site: RoutedSite) -> None:
+    """A stream that was accepted soon after SIGTERM is truncated.
 
-    The engine that it was sent to stayed silent, so it was sent to another one
-    five seconds after SIGTERM, began there, and was cut by the end of the stop.
-    Cause: the time left was weighed when the call came, not when it was sent.
+    Its first engine did not respond, so it was sent to another one five seconds
+    after SIGTERM, began there, and was cut by the end of the stop.  The time
+    left was checked only when the call arrived, not before each attempt.
     """
     instance = site.instances[0]
     for name in ENGINES:
@@ -222,7 +223,7 @@
     thread.join()
     answer = results[0]
     assert not answer.broken
-    # The silent engine may have run it, which is not the caller's answer yet.
+    # The silent engine may have run it, so it is not answered as not run.
     assert answer.status == 502
     assert answer.seconds < 3
     assert site.count_runs(answer.request_id) == 1
@@ -236,10 +237,10 @@
 ) -> None:
     """Operators shorten the time between SIGTERM and the kill, then stop.
 
-    The instance went on for as long as its first settings said, so the kill
-    came with calls in hand and callers got no answer.  Cause: the time of a
-    stop was read once, at the start of the process; later only when SIGHUP or
-    a look once a second had come before SIGTERM.
+    The instance used the time of its first settings, so it was killed with
+    calls in flight, which got no answer.  The time of a stop was read only at
+    the start of the process, and later only by SIGHUP or a poll once a second,
+    which need not happen between the change and SIGTERM.
     """
     instance = site.instances[0]
     long = {'timeout_ms': 20_000, 'route_type': 'non_idempotent'}
@@ -270,7 +271,7 @@
 
 
 def test_a_stop_ends_with_the_last_line_of_its_log(site: RoutedSite) -> None:
-    """Guards against a kill while the interpreter takes itself apart."""
+    """Guards against a kill while the interpreter finalizes."""
     instance = site.instances[0]
     instance.process.kill()
     slow_end = 'import atexit, time; atexit.register(time.sleep, 30)'
@@ -289,10 +290,10 @@
 
 
 def test_a_stop_waits_for_slow_readers(site: RoutedSite) -> None:
-    """A caller reads a long answer slowly, and gets only part of it.
+    """A caller that reads a long answer slowly gets only part of it.
 
-    Its instance was told to stop and saw nothing in hand any more, as an
-    answer counted as sent when it was there; the process ended with the rest.
+    Its instance was stopping and counted the answer as sent once it was
+    buffered, so no call seemed in flight; the process exited with the rest.
     """
     instance = site.instances[0]
     host, port = instance.caller.split(':')
@@ -314,12 +315,12 @@
     assert instance.process.wait(8) == 0
 
 
-def test_a_log_names_what_a_stop_cut(site: RoutedSite) -> None:
-    """A caller complains that its stream ended in the midst, at a stop.
+def test_a_log_names_the_calls_that_a_stop_cut(site: RoutedSite) -> None:
+    """A stream is truncated by a stop, and the log must explain it.
 
-    The instance had reached the end of its time with the stream in hand.  Its
-    log must say so under the call's id, and what it weighed when it took or
-    refused calls on the way there; it said that the caller had left.
+    The stop ended with the stream in flight, but the log reported that the
+    caller had disconnected.  It must name the cut under the call's id, and the
+    times compared when calls were accepted or refused during the stop.
     """
     site.put_configuration(
         long={
@@ -345,17 +346,17 @@
     assert results[0].broken
     ended = find_line(instance, 'ended', results[0].request_id)
     assert ended['outcome'] == 'cut by the stop'
-    weighed = find_line(instance, 'weighed_while_stopping', late.request_id)
-    assert weighed['taken']
-    assert weighed['needed'] < weighed['left'] < 7
+    decision = find_line(instance, 'weighed_while_stopping', late.request_id)
+    assert decision['taken']
+    assert decision['needed'] < decision['left'] < 7
 
 
-def test_a_stop_takes_what_new_connections_bring(site: RoutedSite) -> None:
-    """A caller's new connection is there before its request, during a stop.
+def test_a_stop_accepts_calls_of_new_connections(site: RoutedSite) -> None:
+    """A connection is opened before a stop, and its first request follows.
 
-    The instance closed whatever had no call just then, also connections that
-    had not brought one yet: callers saw them end without an answer, some only
-    seconds later, when the process was gone.
+    The instance closed all connections without a call in flight, including
+    those that had not had a call yet: callers saw them end without an answer,
+    some only seconds later, when the process exited.
     """
     instance = site.instances[0]
     host, port = instance.caller.split(':')
@@ -378,11 +379,11 @@
     assert instance.process.wait(8) == 0
 
 
-def test_a_stop_closes_kept_connections(site: RoutedSite) -> None:
-    """A caller keeps a connection open while its instance begins to stop.
+def test_a_stop_closes_kept_alive_connections(site: RoutedSite) -> None:
+    """A connection is idle when its instance begins to stop.
 
-    The HTTP library marked it as closed and left it open: the caller's next
-    call on it was ignored, and it waited until the process was gone.
+    The HTTP library marked it as closed but left it open: the caller's next
+    call on it was ignored, and the caller waited until the process exited.
     """
     instance = site.instances[0]
     host, port = instance.caller.split(':')
--- a/tests/ingress/test_store_site.py
+++ b/tests/ingress/test_store_site.py
@@ -1,4 +1,4 @@
-"""Configuration, keys and endpoints as the store says, also when it doesn't."""
+"""Configuration, keys and endpoints from the store, also during outages."""
 
 import signal
 import time
@@ -11,8 +11,10 @@
 from tests.ingress.callers import call
 
 BOOKS = ('book-1', 'book-2')
+#: Timeout of a route in seconds.
 TIMEOUT = 0.5
 UNAUTHENTICATED = 401
+#: Tolerance of measured times in seconds.
 SLACK = 0.2
 
 
@@ -24,7 +26,7 @@
 
 
 def test_a_configuration_is_followed(site: RoutedSite) -> None:
-    """A route is added and one is dropped: both hold within two seconds."""
+    """A route is added and one is removed, both within two seconds."""
     instance = site.instances[0]
     assert call(instance, '/added/x').status == 404
     began = time.monotonic()
@@ -37,10 +39,10 @@
     assert call(instance, '/lookups/x').status == 404
 
 
-def test_an_older_configuration_is_never_taken(site: RoutedSite) -> None:
-    """A stale reader of the store hands out an old version again.
+def test_an_older_configuration_is_never_adopted(site: RoutedSite) -> None:
+    """A stale replica of the store returns an old version again.
 
-    Going back would undo what operators have accepted since.
+    Adopting it would undo changes that were accepted since.
     """
     site.put_configuration(added={'service': 'book'})
     instance = site.instances[0]
@@ -57,7 +59,7 @@
 
 
 def test_a_revoked_key_stops_working(site: RoutedSite) -> None:
-    """A workspace loses its key: within seconds nothing runs with it."""
+    """The key of a workspace is revoked: calls with it are soon refused."""
     site.put_configuration(keys=('another',))
     wait_for(
         lambda: all(
@@ -69,11 +71,11 @@
 
 
 def test_keys_are_not_trusted_without_the_store(site: RoutedSite) -> None:
-    """An instance is cut off from the store while a key is taken away.
+    """An instance that is cut off from the store can't know of revoked keys.
 
-    It can't know, so after a while it refuses all keys: not run, come back.
-    Calls that need no key go on being answered, and the balancer is told to
-    send callers elsewhere.
+    After a while it refuses calls with any key as not run, to be retried.
+    Calls that need no key are still answered, and the readiness check fails, so
+    that the balancer sends calls elsewhere.
     """
     instance = site.instances[0]
     site.break_store(hang=True)
@@ -97,9 +99,9 @@
 def test_an_unknown_path_is_not_final_without_the_store(
     site: RoutedSite,
 ) -> None:
-    """A route was just added, and this instance can't have heard of it.
+    """A route is added while the instance is cut off from the store.
 
-    A 404 would be final for the caller; it is told to come back instead.
+    A 404 would be final for the caller; a 503 lets it retry.
     """
     instance = site.instances[0]
     site.break_store(status=503)
@@ -108,9 +110,9 @@
 
 
 def test_lost_history_loses_no_change(site: RoutedSite) -> None:
-    """The store forgets its history right after a change.
+    """The store loses its change history right after a change.
 
-    The instance hears that the history is gone and reads everything.
+    The instance is notified of the loss and reads the full tables.
     """
     site.break_store(status=503)
     site.put_configuration(added={'service': 'book', 'anonymous': True})
@@ -122,8 +124,8 @@
     )
 
 
-def test_an_endpoint_that_leaves_gets_nothing(site: RoutedSite) -> None:
-    """A book says that it drains; two seconds later no call reaches it."""
+def test_a_draining_endpoint_gets_no_calls(site: RoutedSite) -> None:
+    """An endpoint reports its drain; two seconds later no call reaches it."""
     site.list_endpoint('book-1', 'book', state='draining')
     time.sleep(2)
     before = len(site.show_endpoint('book-1')['runs'])
@@ -132,8 +134,8 @@
     assert len(site.show_endpoint('book-1')['runs']) == before
 
 
-def test_unreadable_entries_name_no_endpoint(site: RoutedSite) -> None:
-    """Another writer leaves entries that make no sense; the others hold."""
+def test_invalid_entries_are_ignored(site: RoutedSite) -> None:
+    """Another writer stores invalid entries; the valid ones stay in force."""
     for number, entry in enumerate(
         (
             'text',
@@ -148,13 +150,13 @@
     assert 'odd-2' not in site.instances[0].dump()['endpoints']
 
 
-def test_entries_that_lapse_with_the_store_come_back(
+def test_entries_that_lapse_in_an_outage_are_kept(
     site: RoutedSite,
 ) -> None:
-    """The store is away, and the entries of all books lapse meanwhile.
+    """The entries of all endpoints lapse during an outage of the store.
 
-    The books live and are back in the list a second after its return; calls
-    in between must not be refused for want of endpoints.
+    The endpoints are alive and register again a second after the store's
+    return; calls in between must not be refused for lack of endpoints.
     """
     instance = site.instances[0]
     site.break_store(status=503)
@@ -167,15 +169,15 @@
     site.list_endpoint('book-1', 'book')
     time.sleep(2.5)
     assert call(instance, '/open/x').status == 200
-    # The other one did not come back: it is gone.
+    # The other one did not register again, so it is removed.
     wait_for(
         lambda: 'book-2' not in instance.dump()['endpoints'],
-        'the lapsed entry goes',
+        'the lapsed entry is removed',
     )
 
 
 def test_a_route_bounds_how_long_callers_wait(site: RoutedSite) -> None:
-    """A book hangs, and the operator allows half a second."""
+    """All endpoints hang, and the route has a timeout of half a second."""
     site.put_configuration(
         quick={
             'route_type': 'non_idempotent',
@@ -195,8 +197,8 @@
 # Processes
 
 
-def test_a_reload_signal_ends_nothing(site: RoutedSite) -> None:
-    """The settings change and SIGHUP says so; calls go on."""
+def test_a_reload_signal_interrupts_nothing(site: RoutedSite) -> None:
+    """SIGHUP reloads the changed settings, and calls are still answered."""
     instance = site.instances[0]
     text = instance.settings.read_text()
     instance.settings.write_text(text.replace('grace_s=8', 'grace_s=5'))
@@ -211,19 +213,19 @@
 
 
 def test_an_instance_that_was_killed_serves_again(site: RoutedSite) -> None:
-    """Power is lost; after its start it needs nothing but the store."""
+    """After a kill and a restart an instance needs only the store."""
     instance = site.instances[0]
     instance.process.kill()
     site.restart_instance(instance)
     assert call(instance, '/lookups/x', X_Api_Key=KEY).status == 200
 
 
-def test_instances_hear_each_other(site: RoutedSite) -> None:
-    """Two instances find each other by the store and exchange their work."""
+def test_instances_discover_each_other(site: RoutedSite) -> None:
+    """Two instances find each other through the store."""
     wait_for(
         lambda: all(
             instance.dump()['live_instances'] == 2
             for instance in site.instances
         ),
-        'the other one is heard',
+        'the other instance is live',
     )
--- a/tests/ingress/test_tables.py
+++ b/tests/ingress/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the store on their way to routing and to peers."""
+"""Tables of the store, as followed for routing and for peers."""
 
 import collections
 import random
@@ -24,32 +24,33 @@
 ENDPOINTS = 'servers'
 
 
-async def ask_nobody(_version: int | None) -> None:
-    """Give nothing, as there is nobody else to ask."""
+async def query_no_peer(_version: int | None) -> None:
+    """Return no reply, as there are no peers."""
 
 
-def back_off_never() -> float:
-    """Leave nothing to others."""
+def never_back_off() -> float:
+    """Return no delay, as no peer reads the store instead."""
     return 0
 
 
-def report(version: int, condition: str = 'ready') -> StoredRow:
+def build_report(version: int, state: str = 'ready') -> StoredRow:
     """Build the report of an endpoint at a version of the store."""
     entry = {
         'service': 'book',
         'address': '10.0.0.1:80',
         'zone': 'a',
-        'state': condition,
+        'state': state,
         'sequence': version,
     }
     return StoredRow('i-1', msgspec.json.encode(entry), version)
 
 
 async def test_a_report_is_decoded_once() -> None:
-    """An endpoint reports that it is as it was, and then that it leaves.
+    """An endpoint repeats its report, and then reports that it is draining.
 
-    Comparing it with the report before, for peers, and entering it here each
-    decoded it again, which made up most of what following the store costs.
+    The comparison with the previous report, for peers, and the local endpoint
+    table each decoded it again, which was most of the cost of following the
+    store.
     """
     decoded = collections.Counter()
 
@@ -57,7 +58,7 @@
         decoded[row.version] += 1
         return decode_endpoint(row)
 
-    rows = [report(1), report(2), report(3, 'draining')]
+    rows = [build_report(1), build_report(2), build_report(3, 'draining')]
     script = Script(
         Success(TableState(1, rows[:1], whole=True)),
         *(Success(TableState(row.version, [row], False)) for row in rows[1:]),
@@ -75,7 +76,7 @@
         store,
         ConfigurationHolder(),
         EndpointTable(),
-        lambda _table: PeerTable(ask_nobody, back_off_never),
+        lambda _table: PeerTable(query_no_peer, never_back_off),
         random.Random(1),
     )
     script.follower = tables.endpoints
--- a/tests/ingress/test_watching.py
+++ b/tests/ingress/test_watching.py
@@ -1,4 +1,4 @@
-"""Engines that fall behind are asked how slow they are."""
+"""Engines whose streams stall are queried for their slowdown."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 #: A pass of 43 steps of a millisecond.
 PROFILE = EngineProfile(stride=43, step_seconds=0.001)
-#: Seconds between questions, so that tests are short.
+#: Seconds between queries, short to keep the tests fast.
 PERIOD = 0.01
 
 
@@ -34,24 +34,24 @@
 
     @property
     def current(self) -> 'Profiles':
-        """Return the configuration in force."""
+        """Return itself as the configuration in force."""
         return self
 
     def find_profile(self, _service: str) -> EngineProfile:
-        """Find the figures of a service's engines."""
+        """Return the same profile for every service."""
         return PROFILE
 
 
 class Site:
-    """One engine, an instance that watches it, and what it was asked."""
+    """One engine, the monitor of an instance, and a count of its queries."""
 
     def __init__(self) -> None:
-        """Let the engine be as fast as published."""
+        """Start with an engine as fast as its profile and with one stream."""
         self.slowdown: Result[float, str] = Success(1)
-        self.asked = 0
+        self.query_count = 0
         self.ledger = WorkLedger()
         self.observations = EngineObservations()
-        self.watch = EngineSpeedMonitor(
+        self.monitor = EngineSpeedMonitor(
             'instance-b',
             Profiles(),
             self.ledger,
@@ -64,102 +64,106 @@
         self.ledger.begin('i-1', EndpointWork(1, 1000))
 
     async def answer(self, _address: str) -> Result[float, str]:
-        """Answer for the engine."""
-        self.asked += 1
+        """Return the engine's slowdown, and count the query."""
+        self.query_count += 1
         return self.slowdown
 
-    def note(self, seconds: float) -> None:
-        """Have a stream of the engine pause."""
-        self.watch.record_stall('writer', self.endpoint, seconds)
+    def record_stall(self, seconds: float) -> None:
+        """Record a stall of a stream of the engine."""
+        self.monitor.record_stall('writer', self.endpoint, seconds)
 
-    def find(self) -> float:
-        """Find how slow the engine is known to be."""
+    def find_slowdown(self) -> float:
+        """Return the known slowdown of the engine."""
         return self.observations.find_slowdown('i-1', monotonic())
 
 
 @pytest.fixture
 def site(monkeypatch: pytest.MonkeyPatch) -> Site:
-    """Ask often."""
+    """Build a site whose monitor queries every ``PERIOD``."""
     monkeypatch.setattr(watching_module, '_QUERY_PERIOD', PERIOD)
     return Site()
 
 
-async def test_an_engine_in_time_is_not_asked(site: Site) -> None:
-    """Each question costs the engine and the operator something."""
-    site.note(0.06)
+async def test_an_engine_in_time_is_not_queried(site: Site) -> None:
+    """Each query has a cost for the engine and the operator."""
+    site.record_stall(0.06)
     await asyncio.sleep(PERIOD)
-    assert not site.asked
+    assert not site.query_count
 
 
-async def test_a_slow_engine_is_found_and_comes_back(site: Site) -> None:
-    """Short streams were sent to engines four times as slow, and broke off."""
+async def test_a_slow_engine_is_found_and_recovers(site: Site) -> None:
+    """Short streams were sent to engines four times as slow, and truncated."""
     site.slowdown = Success(4)
-    site.note(0.2)
+    site.record_stall(0.2)
     await asyncio.sleep(PERIOD / 2)
-    assert site.find() == 4
+    assert site.find_slowdown() == 4
     site.slowdown = Success(1)
     await asyncio.sleep(3 * PERIOD)
-    assert site.find() == 1
-    asked = site.asked
+    assert site.find_slowdown() == 1
+    query_count = site.query_count
     await asyncio.sleep(3 * PERIOD)
-    assert site.asked == asked
+    assert site.query_count == query_count
 
 
-async def test_a_pause_of_a_known_slow_engine_is_no_news(site: Site) -> None:
-    """A peer has told how slow it is, so that its passes come as predicted."""
+async def test_a_stall_of_a_known_slow_engine_causes_no_query(
+    site: Site,
+) -> None:
+    """A peer has reported its slowdown, so its passes are as predicted."""
     site.observations.accept_slow({'i-1': 4}, 'instance-c', monotonic())
-    site.note(0.2)
+    site.record_stall(0.2)
     await asyncio.sleep(PERIOD)
-    assert not site.asked
+    assert not site.query_count
 
 
-async def test_one_instance_goes_on_asking(site: Site) -> None:
-    """All notice at once; those that hear of it from an earlier one stop."""
+async def test_one_instance_goes_on_querying(site: Site) -> None:
+    """All notice at once; only the first of them by name keeps querying."""
     site.slowdown = Success(4)
-    site.note(0.2)
+    site.record_stall(0.2)
     await asyncio.sleep(PERIOD / 2)
     site.observations.accept_slow({'i-1': 4}, 'instance-a', monotonic())
     site.observations.accept_slow({'i-1': 4}, 'instance-c', monotonic())
     await asyncio.sleep(2 * PERIOD)
-    asked = site.asked
+    query_count = site.query_count
     await asyncio.sleep(3 * PERIOD)
-    assert site.asked == asked
+    assert site.query_count == query_count
 
 
-async def test_a_silent_engine_is_left_alone(site: Site) -> None:
-    """One without power never answers, and must not be asked for ever."""
+async def test_queries_of_a_silent_engine_end(site: Site) -> None:
+    """An engine without power never answers: the queries are limited."""
     site.slowdown = Failure('no answer')
-    site.note(0.2)
+    site.record_stall(0.2)
     await asyncio.sleep(PERIOD)
-    assert site.asked == watching_module._MAX_QUERIES
-    assert site.find() == 1
+    assert site.query_count == watching_module._MAX_QUERIES
+    assert site.find_slowdown() == 1
 
 
 async def test_a_silent_engine_is_noticed_before_its_streams_stall(
     site: Site,
 ) -> None:
-    """Streams waited up to nine seconds for an engine that had gone dark."""
+    """Streams waited up to nine seconds for an engine that had lost power."""
     site.slowdown = Failure('no answer')
-    site.note(0.2)
+    site.record_stall(0.2)
     await asyncio.sleep(PERIOD)
-    assert site.watch.is_silent(site.endpoint)
+    assert site.monitor.is_silent(site.endpoint)
     site.slowdown = Success(1)
-    site.note(0.2)
+    site.record_stall(0.2)
     await asyncio.sleep(PERIOD)
-    assert not site.watch.is_silent(site.endpoint)
+    assert not site.monitor.is_silent(site.endpoint)
 
 
 @pytest.mark.parametrize('body', [b'', b'[]', b'{"pace": null}'])
-def test_a_report_that_cannot_be_read_is_an_answer(body: bytes) -> None:
-    """Taken for silence, it had sound engines left by all their streams."""
+def test_an_unreadable_report_counts_as_an_answer(body: bytes) -> None:
+    """Treated as silence, it moved all streams away from healthy engines."""
     assert _read_report(Reply(200, body)) == 1
     assert _read_report(Reply(200, b'{"pace": 4.0, "busy": false}')) == 4
 
 
-async def test_doubt_ends_with_what_explains_the_pause(site: Site) -> None:
-    """A long prompt that is read there makes each pass as long as that."""
-    reading = random.Random(1).uniform(0.2, 0.4)
-    site.ledger.begin('i-1', EndpointWork(0, 0, reading, 1))
-    site.note(reading + 0.05)
+async def test_a_stall_that_a_prefill_explains_causes_no_query(
+    site: Site,
+) -> None:
+    """The prefill of a long prompt makes each pass last as long."""
+    prefill = random.Random(1).uniform(0.2, 0.4)
+    site.ledger.begin('i-1', EndpointWork(0, 0, prefill, 1))
+    site.record_stall(prefill + 0.05)
     await asyncio.sleep(PERIOD)
-    assert not site.asked
+    assert not site.query_count
