--- a/tests/ingress/test_store_site.py
+++ b/tests/ingress/test_store_site.py
@@ -59,7 +59,7 @@
 
 
 def test_a_revoked_key_stops_working(site: RoutedSite) -> None:
-    """The key of a workspace is revoked: calls with it are soon refused."""
+    """A workspace loses its key: calls with it are refused within seconds."""
     site.put_configuration(keys=('another',))
     wait_for(
         lambda: all(
--- a/tests/ingress/test_tables.py
+++ b/tests/ingress/test_tables.py
@@ -33,7 +33,7 @@
     return 0
 
 
-def build_report(version: int, state: str = 'ready') -> StoredRow:
+def report(version: int, state: str = 'ready') -> StoredRow:
     """Build the report of an endpoint at a version of the store."""
     entry = {
         'service': 'book',
@@ -58,7 +58,7 @@
         decoded[row.version] += 1
         return decode_endpoint(row)
 
-    rows = [build_report(1), build_report(2), build_report(3, 'draining')]
+    rows = [report(1), report(2), report(3, 'draining')]
     script = Script(
         Success(TableState(1, rows[:1], whole=True)),
         *(Success(TableState(row.version, [row], False)) for row in rows[1:]),
--- a/tests/ingress/test_watching.py
+++ b/tests/ingress/test_watching.py
@@ -68,7 +68,7 @@
         self.query_count += 1
         return self.slowdown
 
-    def record_stall(self, seconds: float) -> None:
+    def note(self, seconds: float) -> None:
         """Record a stall of a stream of the engine."""
         self.monitor.record_stall('writer', self.endpoint, seconds)
 
@@ -86,7 +86,7 @@
 
 async def test_an_engine_in_time_is_not_queried(site: Site) -> None:
     """Each query has a cost for the engine and the operator."""
-    site.record_stall(0.06)
+    site.note(0.06)
     await asyncio.sleep(PERIOD)
     assert not site.query_count
 
@@ -94,7 +94,7 @@
 async def test_a_slow_engine_is_found_and_recovers(site: Site) -> None:
     """Short streams were sent to engines four times as slow, and truncated."""
     site.slowdown = Success(4)
-    site.record_stall(0.2)
+    site.note(0.2)
     await asyncio.sleep(PERIOD / 2)
     assert site.find_slowdown() == 4
     site.slowdown = Success(1)
@@ -110,7 +110,7 @@
 ) -> None:
     """A peer has reported its slowdown, so its passes are as predicted."""
     site.observations.accept_slow({'i-1': 4}, 'instance-c', monotonic())
-    site.record_stall(0.2)
+    site.note(0.2)
     await asyncio.sleep(PERIOD)
     assert not site.query_count
 
@@ -118,7 +118,7 @@
 async def test_one_instance_goes_on_querying(site: Site) -> None:
     """All notice at once; only the first of them by name keeps querying."""
     site.slowdown = Success(4)
-    site.record_stall(0.2)
+    site.note(0.2)
     await asyncio.sleep(PERIOD / 2)
     site.observations.accept_slow({'i-1': 4}, 'instance-a', monotonic())
     site.observations.accept_slow({'i-1': 4}, 'instance-c', monotonic())
@@ -131,7 +131,7 @@
 async def test_queries_of_a_silent_engine_end(site: Site) -> None:
     """An engine without power never answers: the queries are limited."""
     site.slowdown = Failure('no answer')
-    site.record_stall(0.2)
+    site.note(0.2)
     await asyncio.sleep(PERIOD)
     assert site.query_count == watching_module._MAX_QUERIES
     assert site.find_slowdown() == 1
@@ -142,11 +142,11 @@
 ) -> None:
     """Streams waited up to nine seconds for an engine that had lost power."""
     site.slowdown = Failure('no answer')
-    site.record_stall(0.2)
+    site.note(0.2)
     await asyncio.sleep(PERIOD)
     assert site.monitor.is_silent(site.endpoint)
     site.slowdown = Success(1)
-    site.record_stall(0.2)
+    site.note(0.2)
     await asyncio.sleep(PERIOD)
     assert not site.monitor.is_silent(site.endpoint)
 
@@ -164,6 +164,6 @@
     """The prefill of a long prompt makes each pass last as long."""
     prefill = random.Random(1).uniform(0.2, 0.4)
     site.ledger.begin('i-1', EndpointWork(0, 0, prefill, 1))
-    site.record_stall(prefill + 0.05)
+    site.note(prefill + 0.05)
     await asyncio.sleep(PERIOD)
     assert not site.query_count
