--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -174,7 +174,7 @@
 def test_one_instance_reads_the_store_for_all(
     zones: int, zone_size: int
 ) -> None:
-    """The number of calls to the store must not grow with the fleet."""
+    """Calls to the store must not grow with instances or zones."""
     fleet = Fleet(zones, zone_size)
     fleet.run_queries()
     assert fleet.list_by_provenance(Provenance.STORE) == ['edge-0-00']
@@ -185,7 +185,7 @@
 
 
 def test_the_loss_of_the_reader_brings_one_other_to_the_store() -> None:
-    """The only reader dies: not all others of its zone may read the store."""
+    """The only reader dies: one other instance replaces it, not all of them."""
     fleet = Fleet(5, 39)
     fleet.run_queries()
     lost = fleet.instances.pop('edge-0-00')
@@ -271,7 +271,7 @@
 async def test_age_counts_from_before_the_query(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A table that a peer read 2 s ago is 2 s old when its reply arrives."""
+    """The reply of a peer that read the store 2 s ago is at least 2 s old."""
     monkeypatch.setattr(following_module, 'read_boottime', lambda: 100)
     script = Script(state(9, whole=True))
     script.told = [
@@ -389,7 +389,7 @@
     """The reader is suspended for seconds, and a key is issued meanwhile.
 
     Once it is resumed the others query it, but keep the newer version that they
-    have from the store; the reader has to catch up.
+    have from the store, until the reader has caught up.
     """
     reader, *others = site.instances
     reader.process.send_signal(signal.SIGSTOP)
--- a/tests/ingress/test_soak_checks.py
+++ b/tests/ingress/test_soak_checks.py
@@ -8,6 +8,7 @@
 from testbed.soak.routed_faults import Span
 from testbed.soak.routed_stops import PlannedStop
 
+#: Time of SIGTERM.
 SIGNALLED = 10.0
 STOP = PlannedStop('edge-1', SIGNALLED, SIGNALLED + 7.3, SIGNALLED + 8, code=0)
 #: When the call of an incident arrived and was cut, in seconds after SIGTERM.
@@ -17,7 +18,7 @@
 
 @attrs.define
 class Site:
-    """Endpoints of which at most one ran the call."""
+    """Engines of which at most one, ``ran_at``, ran the call."""
 
     ran_at: str
     endpoints: tuple[str, ...] = ('engine-1', 'engine-2')
--- a/tests/ingress/test_spillover.py
+++ b/tests/ingress/test_spillover.py
@@ -97,7 +97,7 @@
     """Spillover of an instance of zone a, with its ledger and queries."""
 
     def __init__(self, remote_peers: int) -> None:
-        """Register as many instances of zone b."""
+        """Register this many instances of zone b."""
         self.queries = FakeQueries(RemoteInstance())
         self.ledger = WorkLedger()
         peers = register('edge-a', 'zone-a')
