--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, or sees an error."""
+"""Callers get the complete answer to their own request, or an error."""
 
 import json
 import time
@@ -20,8 +20,8 @@
 )
 
 TOKENS = 12
-#: Seconds within which engines have nothing left in memory.
-FREE_WITHIN = 5
+#: Seconds within which engines must have freed their memory.
+FREE_TIMEOUT = 5
 
 
 @pytest.fixture(scope='module')
@@ -30,8 +30,8 @@
         example=ROADGRIP,
         endpoints_per_group=3,
         group_settings={'honours_continuation': True},
-        # Nearly every answer here is broken on purpose.  The budget that
-        # keeps retries few has tests of its own.
+        # Nearly every answer here is made to fail, which would exhaust the
+        # usual retry budget; the budget has tests of its own.
         deployment_settings={'retry_budget_percent': 300},
         engine_settings={'time_scale': 4.0, 'memory_tokens': 400_000},
     )
@@ -40,15 +40,15 @@
 
 
 @pytest.fixture(autouse=True)
-def sound_engines(site: Site) -> Iterator[None]:
+def healthy_engines(site: Site) -> Iterator[None]:
     set_engines(site)
     yield
     set_engines(site)
-    assert wait_until_free(site, FREE_WITHIN) == {}
-    assert not wait_until_confirmed(site, FREE_WITHIN)
+    assert wait_until_free(site, FREE_TIMEOUT) == {}
+    assert not wait_until_confirmed(site, FREE_TIMEOUT)
 
 
-def ask(site: Site, prompt: str, **fields: object) -> OpenStream:
+def complete_streaming(site: Site, prompt: str, **fields: object) -> OpenStream:
     stream = OpenStream(
         site.callers[0],
         prompt,
@@ -71,23 +71,23 @@
     ],
     ids=str,
 )
-def test_faulty_connections_give_whole_answers(
+def test_faulty_connections_give_complete_answers(
     site: Site,
     faults: dict[str, object],
 ) -> None:
-    """Engines mix, repeat and cut; their streams can be taken up again.
+    """Engines cross, repeat and truncate streams that can be resumed.
 
-    Also a connection that ends cleanly in mid-answer is no end.  The caller
-    gets every token of its own answer once.
+    A connection that closes cleanly in mid-answer does not count as the end
+    of the answer.  The caller gets each token of its own answer once.
     """
     set_engines(site, **faults)
     for prompt in ('first', 'second'):
-        stream = ask(site, prompt)
+        stream = complete_streaming(site, prompt)
         assert stream.text == compose_answer(prompt, TOKENS)
         assert stream.done and not stream.incomplete
 
 
-BREAKS = (
+TRUNCATIONS = (
     {'skipped': 4},
     {'fail_after': 3},
     {'cut_after': 3, 'forget': True},
@@ -96,59 +96,60 @@
 )
 
 
-@pytest.mark.parametrize('faults', BREAKS, ids=str)
-def test_broken_answer_is_never_an_end(
+@pytest.mark.parametrize('faults', TRUNCATIONS, ids=str)
+def test_truncated_answer_is_reported_as_an_error(
     site: Site,
     faults: dict[str, object],
 ) -> None:
-    """Every engine fails in mid-answer and cannot go on with it.
+    """Every engine fails in mid-answer and cannot resume it.
 
-    Events are missing, the engine tells of an error and still says [DONE],
-    or is restarted and offers another stream under the same id.  The answer
-    is drawn at random, so nobody else can go on with it.  The caller sees an
-    error event, no [DONE], and an incomplete HTTP body.
+    Events are missing, or the engine reports an error and still sends [DONE],
+    or it is restarted and offers another stream under the same id.  The
+    answer is sampled at random, so no other engine can continue it.  The
+    caller sees an error event, no [DONE], and an incomplete HTTP body.
     """
     set_engines(site, **faults)
-    stream = ask(site, 'broken')
-    whole = compose_answer('broken', TOKENS)
-    assert stream.text and whole.startswith(stream.text)
+    stream = complete_streaming(site, 'broken')
+    complete_text = compose_answer('broken', TOKENS)
+    assert stream.text and complete_text.startswith(stream.text)
     assert stream.error['code'] == 'endpoint_failed'
     assert stream.error['ran'] == 'unknown'
     assert '[DONE]' not in stream.payloads
     assert stream.incomplete
 
 
-@pytest.mark.parametrize('faults', BREAKS, ids=str)
+@pytest.mark.parametrize('faults', TRUNCATIONS, ids=str)
 def test_another_engine_continues_a_greedy_answer(
     site: Site,
     faults: dict[str, object],
 ) -> None:
-    """Two of three engines fail in mid-answer, the caller has some of it.
+    """Two of three engines fail after part of the answer was delivered.
 
-    At temperature 0 the rest follows from the text, so another engine goes on
-    behind it.  The caller sees one answer with neither gap nor repetition.
+    At temperature 0 the rest is determined by the text so far, so another
+    engine continues it.  The caller sees one answer without gap or repetition.
     """
     set_engines(site, list_engines(site)[:2], **faults)
     for number in range(3):
         prompt = f'continued {number}'
-        stream = ask(site, prompt, temperature=0)
+        stream = complete_streaming(site, prompt, temperature=0)
         assert stream.text == compose_answer(prompt, TOKENS)
         assert stream.done and not stream.incomplete
         ids = {json.loads(payload)['id'] for payload in stream.payloads[:-1]}
         assert len(ids) == 1
 
 
-@pytest.mark.parametrize('faults', BREAKS[:3], ids=str)
+@pytest.mark.parametrize('faults', TRUNCATIONS[:3], ids=str)
 @pytest.mark.parametrize('model', [MODEL, 'roadgrip-corridor'])
-def test_whole_answers_start_again_elsewhere(
+def test_undelivered_answers_restart_on_another_engine(
     site: Site,
     faults: dict[str, object],
     model: str,
 ) -> None:
-    """Two of three engines fail in mid-answer; nothing was delivered yet.
+    """Two of three engines fail in mid-answer before anything is delivered.
 
-    An answer as JSON, or delivered whole, is made again from the start on
-    another engine, however it is drawn.
+    An answer that is buffered until it is complete (as JSON, or by a setting
+    of the model) is generated again from the start on another engine, also
+    if it is sampled at random.
     """
     set_engines(site, list_engines(site)[:2], **faults)
     for number in range(2):
@@ -165,7 +166,7 @@
 
 
 def test_chat_answer_is_continued(site: Site) -> None:
-    """The same for a chat answer, read by the published client."""
+    """A chat answer is continued, as seen by the published OpenAI client."""
     set_engines(site, list_engines(site)[:2], skipped=4)
     client = openai.OpenAI(
         api_key=KEY,
@@ -185,11 +186,11 @@
         assert text == compose_answer(chat, TOKENS)
 
 
-def test_published_client_sees_a_broken_answer(site: Site) -> None:
-    """The OpenAI client iterates over a stream that breaks off.
+def test_published_client_raises_on_a_truncated_answer(site: Site) -> None:
+    """The OpenAI client reads an answer that is truncated.
 
-    It must raise, not come to an end as if the answer were short; also when
-    the answer is JSON.
+    It must raise instead of ending as if the answer were short, for a stream
+    and for a JSON answer.
     """
     set_engines(site, skipped=4)
     client = openai.OpenAI(
@@ -211,18 +212,18 @@
 
 
 @pytest.mark.parametrize('events', [0, 4])
-def test_frozen_engine_is_left_in_time(site: Site, events: int) -> None:
+def test_frozen_engine_is_abandoned_in_time(site: Site, events: int) -> None:
     """An engine freezes, before its first token or in mid-answer.
 
-    Its connection stays open and nothing comes any more.  The caller has
-    given 30 seconds; long before, the work moves to another engine.
+    Its connection stays open without further events.  The work must move to
+    another engine well before the caller's deadline of 30 seconds.
     """
     prompt = f'frozen after {events}'
     set_engines(site, slowness=20.0 if events else 1.0)
     frozen = [] if events else list_engines(site)[:2]
     for name in frozen:
         site.endpoints[name].freeze()
-    began = time.monotonic()
+    started = time.monotonic()
     try:
         stream = OpenStream(
             site.callers[0],
@@ -238,17 +239,14 @@
         stream.read()
         assert stream.text == compose_answer(prompt, TOKENS)
         assert stream.done
-        assert time.monotonic() - began < 25
+        assert time.monotonic() - started < 25
     finally:
         for name in frozen:
             site.endpoints[name].wake()
 
 
-def test_dead_engine_is_replaced(site: Site) -> None:
-    """An engine's process ends in mid-answer, and is started again later.
-
-    A greedy answer goes on elsewhere.
-    """
+def test_greedy_answer_survives_a_killed_engine(site: Site) -> None:
+    """An engine is killed in mid-answer; another one continues the answer."""
     set_engines(site, slowness=20.0)
     stream = OpenStream(
         site.callers[0], 'dead', max_tokens=TOKENS, temperature=0
@@ -263,7 +261,7 @@
 
 
 def find_busy(site: Site) -> str:
-    """Find the engine that has a stream."""
+    """Return the name of the first engine with a running stream."""
     for name in list_engines(site):
         held = site.control(site.addresses[name], 'GET', '/v1/held')
         if held['held']:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: a clear answer, nothing lost, nothing logged."""
+"""Bad input gets a clear refusal and writes nothing to the log."""
 
 import contextlib
 import itertools
@@ -22,7 +22,11 @@
     *parts: bytes,
     seconds: float = 20,
 ) -> bytes:
-    """Send raw bytes, part by part, and read until the other side closes."""
+    """Send raw bytes, part by part, and return what is received.
+
+    Reading ends when the server closes, after an error body, or after
+    ``seconds``.
+    """
     host, _, port = address.rpartition(':')
     received = b''
     limit = time.monotonic() + seconds
@@ -39,19 +43,19 @@
 
 
 def post(rest: bytes) -> bytes:
-    """Put the head of a completion call before some bytes."""
+    """Prepend the request line and key of a completion call to ``rest``."""
     return b''.join((_HEAD.encode(), rest))
 
 
 def with_length(head: str, encoding: str = 'utf-8') -> bytes:
-    """Build a whole completion call with one more header."""
+    """Build a complete completion call with one extra header line."""
     body = json.dumps({'model': MODEL, 'prompt': 'x'}).encode()
     length = b'Content-Length: %d' % len(body)
     return post(b'\r\n'.join((head.encode(encoding), length, b'', body)))
 
 
 def status_of(answer: bytes) -> int:
-    """Return the status of a raw answer."""
+    """Parse the status code of a raw answer."""
     return int(answer.split(b' ', 2)[1])
 
 
@@ -98,7 +102,7 @@
 
 
 def test_slash_in_a_key_names_no_other_workspace(roadgrip: Site) -> None:
-    """Keys of two workspaces never meet, whatever characters they have."""
+    """Keys of different workspaces stay separate, whatever their characters."""
     headers = {'Idempotency-Key': '../authority-engineers/k?x=1&y=%2F#'}
     first = complete(roadgrip.callers[0], headers=headers)
     again = complete(roadgrip.callers[1], headers=headers)
@@ -125,7 +129,7 @@
     ],
 )
 def test_malformed_http(roadgrip: Site, raw: bytes) -> None:
-    """Garbage is refused, the instance goes on, and its log does not grow."""
+    """Malformed HTTP is refused; the instance keeps serving, its log unchanged."""
     log = roadgrip.instances[0].process.log
     before = log.stat().st_size
     for _ in range(3):
@@ -135,7 +139,7 @@
 
 
 def test_endless_body_is_refused(roadgrip: Site) -> None:
-    """A caller streams a body without an end; memory stays bounded."""
+    """A caller streams an endless body, which must not fill the memory."""
     head = post(b'Transfer-Encoding: chunked\r\n\r\n')
     chunk = b'10000\r\n%b\r\n' % bytes(65_536)
     answer = exchange(roadgrip.callers[0], head, *itertools.repeat(chunk, 300))
@@ -143,17 +147,17 @@
 
 
 def test_slow_body_is_refused_by_the_deadline(roadgrip: Site) -> None:
-    """A caller gives a deadline and sends its body too slowly for it."""
+    """A caller sends its body too slowly for the deadline that it set."""
     head = post(b'X-Deadline-Seconds: 1\r\nContent-Length: 100\r\n\r\n{')
     started = time.monotonic()
     answer = exchange(roadgrip.callers[0], head)
     assert status_of(answer) == 400
-    taken = time.monotonic() - started
-    assert round(taken) == 1
+    elapsed = time.monotonic() - started
+    assert round(elapsed) == 1
 
 
 def test_short_body_is_dropped(roadgrip: Site) -> None:
-    """A caller promises more than it sends and closes: nothing is run."""
+    """A caller closes before it has sent all of the announced body."""
     head = post(b'Content-Length: 100\r\n\r\n{"model":')
     host, _, port = roadgrip.callers[0].rpartition(':')
     log = roadgrip.instances[0].process.log
@@ -165,11 +169,11 @@
     assert log.stat().st_size == before
 
 
-def test_caller_cannot_pose_as_the_system(roadgrip: Site) -> None:
-    """A caller sets the headers by which endpoints know whom they serve.
+def test_caller_cannot_forge_system_headers(roadgrip: Site) -> None:
+    """A caller sets headers by which endpoints identify the request.
 
-    The service must see those that the system sets, and nothing of the API
-    key or of the caller's own connection.
+    The service must get the values that the system sets, and neither the API
+    key nor the headers of the caller's own connection.
     """
     head = (
         'GET /services/test-runs/headers HTTP/1.1\r\nHost: forged\r\n'
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The figures and bounds of the bench."""
+"""Figures and bounds of the benchmark, and the load that it generates."""
 
 import math
 import pathlib
@@ -28,7 +28,7 @@
         '  - {figure: x, policy: p, baseline: b, at_most: 0.5}\n'
         '  - {figure: x, policy: p, baseline: absent, at_most: 0.5}\n',
     )
-    good, bad = ({'p': {'x': ours}, 'b': {'x': 10}} for ours in (5, 6))
+    good, bad = ({'p': {'x': value}, 'b': {'x': 10}} for value in (5, 6))
     assert check_bounds(path, 'load-80', good)[0].startswith('ok')
     assert check_bounds(path, 'load-80', bad)[0].startswith('FAILED')
     assert len(check_bounds(path, 'load-80', good)) == 1
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Generated input for the parsers of what callers send."""
+"""Generated input for the parsers of callers' requests."""
 
 import json
 
@@ -28,7 +28,7 @@
 
 
 def check_refused(parsed: Result[object, object]) -> None:
-    """Check that a refusal says that nothing ran and can be sent."""
+    """Check that a refusal states that nothing ran and can be encoded."""
     refusal = parsed.failure()
     assert refusal.ran is Ran.NO
     assert 400 <= refusal.code.status < 500
@@ -86,7 +86,7 @@
 
 
 @given(st.text(max_size=400) | st.binary(max_size=300))
-def test_any_key_makes_a_row_or_is_refused(raw: str | bytes) -> None:
+def test_any_key_can_be_stored_or_is_refused(raw: str | bytes) -> None:
     """Headers arrive decoded with surrogates for bytes that are not UTF-8."""
     text = raw
     if isinstance(raw, bytes):
@@ -100,7 +100,7 @@
 
 
 @given(st.binary(max_size=20), st.binary(max_size=20), st.binary(max_size=9))
-def test_digest_tells_requests_apart(
+def test_digest_distinguishes_requests(
     path: bytes,
     other: bytes,
     body: bytes,
@@ -125,10 +125,12 @@
 
 
 @given(st.lists(st.tuples(NAMES, st.sampled_from(['close', 'x-other', '']))))
-def test_system_headers_never_pass(headers: list[tuple[str, str]]) -> None:
+def test_system_headers_are_not_forwarded(
+    headers: list[tuple[str, str]],
+) -> None:
     call = PlainCall('GET', '/', CIMultiDict(headers), b'', 0)
-    passed = filter_request_headers(call.headers)
-    assert set(map(str.lower, passed)) <= {'x-other'}
+    forwarded = filter_request_headers(call.headers)
+    assert set(map(str.lower, forwarded)) <= {'x-other'}
     named = ('Connection', 'x-other') in headers
-    assert not (named and passed)
+    assert not (named and forwarded)
     assert 'Connection' not in filter_answer_headers(call.headers)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most once, with real processes: effects are counted at the endpoints."""
+"""Keyed calls run at most once; real processes, effects counted at endpoints."""
 
 import functools
 import pathlib
@@ -17,13 +17,13 @@
 
 #: Seconds by which an answer may miss its deadline on a busy test machine.
 MARGIN = 0.5
-#: Seconds that the tests give the background settling of claims.
-SETTLING = 10.0
+#: Seconds within which claims must be settled in the background.
+SETTLE_TIMEOUT = 10.0
 
 
 @pytest.fixture(scope='module')
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Site]:
-    """Run a site whose zones can be cut off."""
+    """Run a site whose zones can be disconnected from each other."""
     plan = SitePlan(
         example=ROADGRIP,
         endpoints_per_group=1,
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def site(shared: Site) -> Iterator[Site]:
-    """Give the site, whole again after each test."""
+    """Yield the site; afterwards clear its faults and restart its instances."""
     yield shared
     shared.set_faults(shared.platform_address)
     for address in shared.addresses.values():
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def pool() -> Iterator[ThreadPoolExecutor]:
-    """Make calls at the same time."""
+    """Yield an executor for concurrent calls."""
     with ThreadPoolExecutor(32) as executor:
         yield executor
 
@@ -63,9 +63,9 @@
     site: Site,
     pool: ThreadPoolExecutor,
 ) -> None:
-    """Callers send one key to every instance in the same moment.
+    """Callers send one key to every instance at the same time.
 
-    One of them books; the others are told so, or get the recorded answer.
+    One of them books; the others are refused, or get the recorded answer.
     """
     keys = [f'run-race-{number}' for number in range(8)]
     calls = [
@@ -82,7 +82,7 @@
     site: Site,
     pool: ThreadPoolExecutor,
 ) -> None:
-    """Callers send one keyed prompt to every instance in the same moment."""
+    """Callers send one keyed prompt to every instance at the same time."""
     before = count_runs(site)
     headers = {'Idempotency-Key': 'prompt-race'}
     calls = [
@@ -95,17 +95,17 @@
 
 
 def test_hanging_store_refuses_in_time(site: Site) -> None:
-    """The store takes calls and never answers.
+    """The store accepts calls and never answers.
 
-    Each keyed caller hears before its deadline that nothing was run, and
-    nothing runs when the store comes back; the key stays usable.
+    Each keyed caller is told before its deadline that nothing was run, and
+    nothing runs when the store recovers; the key stays usable.
     """
     site.set_faults(site.platform_address, hang=True)
     for number in range(3):
-        answer, taken = timed_book(site, f'hang-{number}', seconds=1)
+        answer, elapsed = timed_book(site, f'hang-{number}', seconds=1)
         assert answer.refusal()['ran'] == 'no'
         assert answer.refusal()['retry_after'] > 0
-        assert taken < 1 + MARGIN
+        assert elapsed < 1 + MARGIN
     site.set_faults(site.platform_address)
     assert [count_effects(site, f'hang-{n}') for n in range(3)] == [0, 0, 0]
     wait_for(lambda: book(site.callers[1], 'hang-0', 'hang-0').status == 200)
@@ -114,17 +114,17 @@
 
 def test_store_down_refuses_at_once(site: Site) -> None:
     site.set_faults(site.platform_address, down=True)
-    answer, taken = timed_book(site, 'down', seconds=10)
+    answer, elapsed = timed_book(site, 'down', seconds=10)
     assert answer.status == 503
     assert answer.refusal()['ran'] == 'no'
-    assert taken < 1
+    assert elapsed < 1
     request_id = answer.refusal()['request_id']
-    told = site.control(
+    explained = site.control(
         site.instances[0].operator,
         'GET',
         f'/operator/explain/{request_id}',
     )
-    assert told['steps'][-1]['outcome'] == 'claim_unrecorded'
+    assert explained['steps'][-1]['outcome'] == 'claim_unrecorded'
     site.set_faults(site.platform_address)
     assert book(site.callers[0], 'down', 'down').status == 200
     assert count_effects(site, 'down') == 1
@@ -132,21 +132,21 @@
 
 def test_slow_store_is_waited_for(site: Site) -> None:
     site.set_faults(site.platform_address, delay=0.7)
-    first, taken = timed_book(site, 'slow', seconds=5)
+    first, elapsed = timed_book(site, 'slow', seconds=5)
     assert first.status == 200
-    # The claim is waited for, its outcome only for a moment.
-    assert taken < 0.7 + 0.25 + MARGIN
+    # The answer waits for the claim in full, for the outcome only briefly.
+    assert elapsed < 0.7 + 0.25 + MARGIN
     site.set_faults(site.platform_address)
     wait_for(lambda: book(site.callers[1], 'slow', 'slow').status == 200)
     assert count_effects(site, 'slow') == 1
 
 
 @pytest.mark.parametrize('lost', ['lose_answers', 'lose_writes'])
-def test_lost_claim_is_taken_up_again(site: Site, lost: str) -> None:
-    """The answer to the claim is lost, before or after it took effect.
+def test_lost_claim_is_retried(site: Site, lost: str) -> None:
+    """The connection for the claim breaks, before or after it took effect.
 
-    The caller notices nothing: the same row is written again, and found if
-    it stands there already.
+    The caller notices nothing: the same row is written again, and recognised
+    if it is already there.
     """
     site.set_faults(site.platform_address, **{lost: 1})
     assert book(site.callers[0], lost, lost).status == 200
@@ -162,11 +162,11 @@
 ) -> None:
     """The store fails while a claimed call is at its endpoint.
 
-    The caller gets the answer in time all the same, and when the store is
-    back the key repeats that answer instead of staying in progress for ever.
+    The caller still gets the answer in time, and once the store recovers, the
+    key repeats that answer instead of staying in progress for ever.
     """
     reference = f'outage-{fault}'
-    # A test before this one may have left a claim to be recorded still.
+    # An earlier test may have left a claim whose outcome is not recorded yet.
     wait_for(lambda: count_unsettled(site) == 0)
     slow_books(site, 1.0)
     started = time.monotonic()
@@ -185,11 +185,11 @@
     assert count_unsettled(site) == 0
 
 
-def test_claim_held_back_by_a_cut_frees_its_key(site: Site) -> None:
-    """A cut holds a claim back; the caller is refused; the cut heals.
+def test_claim_delayed_by_a_partition_frees_its_key(site: Site) -> None:
+    """A network partition delays a claim until its caller was refused.
 
-    The claim then reaches the store although its writer has given up.  The
-    key must not stay in progress for ever: the writer takes the row back.
+    When it heals, the claim reaches the store although its writer has given
+    up.  The writer must release it, or the key stays in progress for ever.
     """
     zone = site.zones[0]
     site.network.cut((zone, PLATFORM))
@@ -202,8 +202,8 @@
     assert count_effects(site, 'held-back') == 1
 
 
-def test_other_zone_runs_it_during_a_cut(site: Site) -> None:
-    """Refused in a cut zone, a caller goes to another zone and is served."""
+def test_other_zone_runs_it_during_a_partition(site: Site) -> None:
+    """A caller refused in a partitioned zone is served by another zone."""
     site.network.cut((site.zones[0], PLATFORM))
     refused, _ = timed_book(site, 'moved', seconds=1)
     assert refused.refusal()['ran'] == 'no'
@@ -217,15 +217,15 @@
     site: Site,
     pool: ThreadPoolExecutor,
 ) -> None:
-    """An instance is paused after its claim was sent, and woken too late.
+    """An instance is frozen after its claim, and resumed past the deadline.
 
-    Nobody else may run the work meanwhile, for the owner could still do so;
-    woken past the deadline the owner must not, and gives the key back.
+    No other instance may run the work meanwhile, as the owner could still do
+    so.  Once resumed, the owner must not run it, and releases the key.
     """
     owner = site.instances[0].process
     site.set_faults(site.platform_address, delay_answers=1.0)
     call = pool.submit(book_within, site, 'frozen', 2)
-    # Frozen before its claim is there, it would rightly lose the key.
+    # An owner frozen before its claim is stored would rightly lose the key.
     wait_for(lambda: is_claimed(site, 'frozen'))
     owner.freeze()
     time.sleep(1)
@@ -249,16 +249,16 @@
     pool: ThreadPoolExecutor,
     dispatched: bool,
 ) -> None:
-    """An instance dies between claim and dispatch, or after the dispatch.
+    """An instance is killed between claim and dispatch, or after dispatch.
 
-    Nobody can tell any more whether it ran, so every later caller hears
-    that it is unknown, and no instance runs it again.
+    Whether the work ran can no longer be determined, so every later caller
+    is told that it is unknown, and no instance runs it again.
     """
     reference = f'killed-{dispatched}'
     if dispatched:
         slow_books(site, 5.0)
     else:
-        # The claim stands after half a second, its owner hears it after one.
+        # The claim is stored after 0.5 s; its owner learns so after 1 s.
         site.set_faults(site.platform_address, delay=0.5, lose_answers=1)
     pool.submit(book_within, site, reference, 2)
     time.sleep(0.8)
@@ -275,7 +275,7 @@
 
 
 def test_lost_answer_of_a_service_is_unknown(site: Site) -> None:
-    """A service books and its answer is lost: never told as not run."""
+    """A service's answer is lost after it booked: never reported as not run."""
     for address in list_books(site):
         site.set_faults(address, lose_answers=1)
     first = book(site.callers[0], 'lost', 'lost')
@@ -289,8 +289,8 @@
     assert count_effects(site, 'lost-unkeyed') == 1
 
 
-def test_service_error_is_an_answer(site: Site) -> None:
-    """What the service itself answers stands, also when it is an error."""
+def test_service_error_is_recorded_as_an_answer(site: Site) -> None:
+    """An error that the service itself returns is recorded and repeated."""
     for address in list_books(site):
         site.set_faults(address, refuse=1)
     first = book(site.callers[0], 'error', 'error')
@@ -300,7 +300,7 @@
 
 
 def test_frozen_engine_leaves_its_key_unknown(site: Site) -> None:
-    """Engines freeze, keyed prompts reach their deadline without an answer."""
+    """Keyed prompts reach their deadline while all engines are frozen."""
     before = count_runs(site)
     engines = [
         process
@@ -320,28 +320,30 @@
     assert count_runs(site) - before <= 1
 
 
-def test_refused_connection_moves_on(tmp_path: pathlib.Path) -> None:
-    """A service has died; calls to it are refused before a byte is sent.
+def test_refused_connection_is_retried_elsewhere(
+    tmp_path: pathlib.Path,
+) -> None:
+    """A service was killed, so connections to it are refused.
 
-    Each of them goes on to another endpoint under the same claim, and is
-    booked there once.
+    Each call is retried at another endpoint under the same claim, and booked
+    there once.
     """
-    # No stand-in network: it would take the connection itself.
+    # No stand-in network: it would accept the connection itself.
     plan = SitePlan(example=ROADGRIP, endpoints_per_group=2)
     with start_site(plan, tmp_path) as site:
-        dead, left = (
+        killed, remaining = (
             name for name in site.addresses if name.startswith('run-book')
         )
-        site.endpoints[dead].kill()
+        site.endpoints[killed].kill()
         keys = [f'moved-on-{number}' for number in range(6)]
         answers = [book(site.callers[0], key, key) for key in keys]
-        entries = site.control(site.addresses[left], 'GET', '/entries')
+        entries = site.control(site.addresses[remaining], 'GET', '/entries')
     assert {answer.status for answer in answers} == {200}
     assert [entries.get(key, 0) for key in keys] == [1 for _ in keys]
 
 
 def book_within(site: Site, reference: str, seconds: float) -> Answer:
-    """Book under a key of the same name at the first instance."""
+    """Book at the first instance, with the reference as key as well."""
     return book(
         site.callers[0],
         reference,
@@ -355,20 +357,20 @@
     reference: str,
     seconds: float,
 ) -> tuple[Answer, float]:
-    """Book and tell how long the answer took."""
+    """Book, and return the answer with the seconds that it took."""
     started = time.monotonic()
     answer = book_within(site, reference, seconds)
     return answer, time.monotonic() - started
 
 
 def is_claimed(site: Site, key: str) -> bool:
-    """Tell whether a claim on a key has reached the platform."""
-    told = site.control(site.platform_address, 'GET', '/control/rows/claims')
-    return any(row['key'].endswith(f'/{key}') for row in told['rows'])
+    """Return whether a claim on a key has reached the platform."""
+    table = site.control(site.platform_address, 'GET', '/control/rows/claims')
+    return any(row['key'].endswith(f'/{key}') for row in table['rows'])
 
 
 def can_claim(caller: str) -> bool:
-    """Tell whether an instance can claim a key that nobody has used."""
+    """Return whether an instance can claim a previously unused key."""
     key = f'fresh-{time.monotonic_ns()}'
     return book(caller, key, key).status == 200
 
@@ -383,7 +385,7 @@
 
 
 def slow_books(site: Site, delay: float) -> None:
-    """Let the services answer late, after the effect."""
+    """Delay the services' answers, but not their effects, by ``delay`` s."""
     for address in list_books(site):
         site.set_faults(address, delay=delay)
 
@@ -391,7 +393,7 @@
 def count_unsettled(site: Site) -> int:
     """Read the first instance's gauge of unsettled claims.
 
-    There is none before the first claim that was not settled at once.
+    The gauge is absent until a claim could not be settled at once.
     """
     metrics = http_call(site.callers[0], '/metrics').body.decode()
     gauge = re.search('^kelproad_claims_unsettled (.+)$', metrics, re.MULTILINE)
@@ -399,7 +401,7 @@
 
 
 def count_effects(site: Site, reference: str) -> int:
-    """Count over all books how often a reference was booked."""
+    """Count how often a reference was booked, over all booking services."""
     entries = [
         site.control(address, 'GET', '/entries') for address in list_books(site)
     ]
@@ -415,8 +417,10 @@
     )
 
 
-def wait_for(holds: Callable[[], bool], seconds: float = SETTLING) -> None:
-    """Wait until something holds."""
+def wait_for(
+    holds: Callable[[], bool], seconds: float = SETTLE_TIMEOUT
+) -> None:
+    """Poll until ``holds()`` is true; fail after ``seconds``."""
     limit = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < limit
--- a/tests/test_claims_random.py
+++ b/tests/test_claims_random.py
@@ -19,7 +19,7 @@
 
 KEYS = 40
 CALLS = 150
-#: What may go wrong, the platform's ordinary state among it.
+#: Faults of the platform to choose from, including none.
 FAULTS = (
     Faults(),
     Faults(delay=0.02),
@@ -33,10 +33,10 @@
 
 @attrs.define
 class Accounts:
-    """What endpoints and callers saw."""
+    """How often keys ran, and which ``Ran`` refused callers were given."""
 
     ran: collections.Counter[str] = attrs.field(factory=collections.Counter)
-    told: collections.Counter[str] = attrs.field(factory=collections.Counter)
+    refused: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
 
 async def call_once(
@@ -44,33 +44,33 @@
     accounts: Accounts,
     generator: random.Random,
 ) -> None:
-    """Use a key as an instance does, with any outcome of the dispatch."""
+    """Claim a key as an instance does, with a random outcome of the dispatch."""
     key = f'k-{generator.randrange(KEYS)}'
     deadline = monotonic() + generator.choice((0.05, 0.2, 1.0))
     found = await claims.acquire('w', key, 'digest', deadline)
     if isinstance(found, Failure):
-        accounts.told[found.failure().ran] += 1
+        accounts.refused[found.failure().ran] += 1
         return
-    held = found.unwrap()
-    if not isinstance(held, Claim):
-        # A repeated answer is only ever that of work that ran.
+    claim = found.unwrap()
+    if not isinstance(claim, Claim):
+        # Only work that ran has an answer to repeat.
         assert accounts.ran[key] == 1
         return
     await asyncio.sleep(generator.random() / 50)
-    fate = generator.choice(('released', 'unknown', 'done', 'done'))
-    if fate == 'released':
-        claims.release(held)
+    outcome = generator.choice(('released', 'unknown', 'done', 'done'))
+    if outcome == 'released':
+        claims.release(claim)
         return
     accounts.ran[key] += 1
-    if fate == 'unknown':
-        claims.record_unknown(held)
+    if outcome == 'unknown':
+        claims.record_unknown(claim)
     else:
         answer = RecordedAnswer(200, [], key.encode())
-        await claims.record(held, answer, deadline)
+        await claims.record(claim, answer, deadline)
 
 
 async def vary_faults(store: Store, generator: random.Random) -> None:
-    """Change what goes wrong, over and over."""
+    """Set a random fault of the platform at random intervals, for ever."""
     while True:
         store.platform.faults = attrs.evolve(generator.choice(FAULTS))
         await asyncio.sleep(generator.random() / 5)
@@ -78,10 +78,11 @@
 
 @pytest.mark.parametrize('seed', range(5))
 async def test_no_key_runs_twice(store: Store, seed: int) -> None:
-    """Three instances use few keys while the platform fails in many ways.
+    """Three instances share a few keys while the platform fails at random.
 
-    No key is dispatched twice, whoever claims, loses answers or gives up; and
-    once the platform is whole, no key stays in progress for ever.
+    No key may be dispatched twice, whichever instance claims it, loses answers
+    or gives up; and once the platform has recovered, no key may stay in
+    progress.
     """
     generator = random.Random(seed)
     instances = [create_claims(store, f'i-{number}') for number in range(3)]
@@ -100,8 +101,8 @@
     for claims in instances:
         assert await claims.finish(LONG) == 0
     assert max(accounts.ran.values()) == 1
-    # The faults were hard enough to matter, and not so hard that all failed.
-    assert accounts.told[Ran.NO] > 0
+    # The faults caused refusals, but did not make every claim fail.
+    assert accounts.refused[Ran.NO] > 0
     rows = store.platform._tables['claims'].values()
     states = collections.Counter(
         store.row(row.key.removeprefix('w/'))['state'] for row in rows
