--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -110,8 +110,8 @@
     """
     set_engines(site, **faults)
     stream = complete_streaming(site, 'broken')
-    complete_text = compose_answer('broken', TOKENS)
-    assert stream.text and complete_text.startswith(stream.text)
+    whole = compose_answer('broken', TOKENS)
+    assert stream.text and whole.startswith(stream.text)
     assert stream.error['code'] == 'endpoint_failed'
     assert stream.error['ran'] == 'unknown'
     assert '[DONE]' not in stream.payloads
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -129,7 +129,7 @@
     ],
 )
 def test_malformed_http(roadgrip: Site, raw: bytes) -> None:
-    """Malformed HTTP is refused; the instance keeps serving, its log unchanged."""
+    """Malformed HTTP is refused without a log line; the instance keeps serving."""
     log = roadgrip.instances[0].process.log
     before = log.stat().st_size
     for _ in range(3):
@@ -152,8 +152,8 @@
     started = time.monotonic()
     answer = exchange(roadgrip.callers[0], head)
     assert status_of(answer) == 400
-    elapsed = time.monotonic() - started
-    assert round(elapsed) == 1
+    taken = time.monotonic() - started
+    assert round(taken) == 1
 
 
 def test_short_body_is_dropped(roadgrip: Site) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Keyed calls run at most once; real processes, effects counted at endpoints."""
+"""Keyed calls run at most once, as counted at the endpoints' processes."""
 
 import functools
 import pathlib
@@ -102,10 +102,10 @@
     """
     site.set_faults(site.platform_address, hang=True)
     for number in range(3):
-        answer, elapsed = timed_book(site, f'hang-{number}', seconds=1)
+        answer, taken = timed_book(site, f'hang-{number}', seconds=1)
         assert answer.refusal()['ran'] == 'no'
         assert answer.refusal()['retry_after'] > 0
-        assert elapsed < 1 + MARGIN
+        assert taken < 1 + MARGIN
     site.set_faults(site.platform_address)
     assert [count_effects(site, f'hang-{n}') for n in range(3)] == [0, 0, 0]
     wait_for(lambda: book(site.callers[1], 'hang-0', 'hang-0').status == 200)
@@ -114,10 +114,10 @@
 
 def test_store_down_refuses_at_once(site: Site) -> None:
     site.set_faults(site.platform_address, down=True)
-    answer, elapsed = timed_book(site, 'down', seconds=10)
+    answer, taken = timed_book(site, 'down', seconds=10)
     assert answer.status == 503
     assert answer.refusal()['ran'] == 'no'
-    assert elapsed < 1
+    assert taken < 1
     request_id = answer.refusal()['request_id']
     explained = site.control(
         site.instances[0].operator,
@@ -132,10 +132,10 @@
 
 def test_slow_store_is_waited_for(site: Site) -> None:
     site.set_faults(site.platform_address, delay=0.7)
-    first, elapsed = timed_book(site, 'slow', seconds=5)
+    first, taken = timed_book(site, 'slow', seconds=5)
     assert first.status == 200
     # The answer waits for the claim in full, for the outcome only briefly.
-    assert elapsed < 0.7 + 0.25 + MARGIN
+    assert taken < 0.7 + 0.25 + MARGIN
     site.set_faults(site.platform_address)
     wait_for(lambda: book(site.callers[1], 'slow', 'slow').status == 200)
     assert count_effects(site, 'slow') == 1
@@ -331,13 +331,13 @@
     # No stand-in network: it would accept the connection itself.
     plan = SitePlan(example=ROADGRIP, endpoints_per_group=2)
     with start_site(plan, tmp_path) as site:
-        killed, remaining = (
+        killed, left = (
             name for name in site.addresses if name.startswith('run-book')
         )
         site.endpoints[killed].kill()
         keys = [f'moved-on-{number}' for number in range(6)]
         answers = [book(site.callers[0], key, key) for key in keys]
-        entries = site.control(site.addresses[remaining], 'GET', '/entries')
+        entries = site.control(site.addresses[left], 'GET', '/entries')
     assert {answer.status for answer in answers} == {200}
     assert [entries.get(key, 0) for key in keys] == [1 for _ in keys]
 
--- a/tests/test_claims_random.py
+++ b/tests/test_claims_random.py
@@ -44,29 +44,29 @@
     accounts: Accounts,
     generator: random.Random,
 ) -> None:
-    """Claim a key as an instance does, with a random outcome of the dispatch."""
+    """Claim a key as an instance does, and dispatch with a random outcome."""
     key = f'k-{generator.randrange(KEYS)}'
     deadline = monotonic() + generator.choice((0.05, 0.2, 1.0))
     found = await claims.acquire('w', key, 'digest', deadline)
     if isinstance(found, Failure):
         accounts.refused[found.failure().ran] += 1
         return
-    claim = found.unwrap()
-    if not isinstance(claim, Claim):
+    held = found.unwrap()
+    if not isinstance(held, Claim):
         # Only work that ran has an answer to repeat.
         assert accounts.ran[key] == 1
         return
     await asyncio.sleep(generator.random() / 50)
     outcome = generator.choice(('released', 'unknown', 'done', 'done'))
     if outcome == 'released':
-        claims.release(claim)
+        claims.release(held)
         return
     accounts.ran[key] += 1
     if outcome == 'unknown':
-        claims.record_unknown(claim)
+        claims.record_unknown(held)
     else:
         answer = RecordedAnswer(200, [], key.encode())
-        await claims.record(claim, answer, deadline)
+        await claims.record(held, answer, deadline)
 
 
 async def vary_faults(store: Store, generator: random.Random) -> None:
@@ -101,7 +101,7 @@
     for claims in instances:
         assert await claims.finish(LONG) == 0
     assert max(accounts.ran.values()) == 1
-    # The faults caused refusals, but did not make every claim fail.
+    # The faults caused refusals, but did not make every held fail.
     assert accounts.refused[Ran.NO] > 0
     rows = store.platform._tables['claims'].values()
     states = collections.Counter(
