--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -129,7 +129,7 @@
     ],
 )
 def test_malformed_http(roadgrip: Site, raw: bytes) -> None:
-    """Malformed HTTP is refused without a log line; the instance keeps serving."""
+    """Malformed HTTP is refused unlogged, and the instance keeps serving."""
     log = roadgrip.instances[0].process.log
     before = log.stat().st_size
     for _ in range(3):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -168,7 +168,7 @@
     reference = f'outage-{fault}'
     # An earlier test may have left a claim whose outcome is not recorded yet.
     wait_for(lambda: count_unsettled(site) == 0)
-    slow_books(site, 1.0)
+    delay_run_books(site, 1.0)
     started = time.monotonic()
     call = pool.submit(book_within, site, reference, 3)
     wait_for(lambda: count_effects(site, reference) == 1)
@@ -177,7 +177,7 @@
     assert time.monotonic() - started < 3 + MARGIN
     assert count_unsettled(site) == 1
     site.set_faults(site.platform_address)
-    slow_books(site, 0)
+    delay_run_books(site, 0)
     wait_for(
         lambda: book(site.callers[1], reference, reference).status == 200,
     )
@@ -256,7 +256,7 @@
     """
     reference = f'killed-{dispatched}'
     if dispatched:
-        slow_books(site, 5.0)
+        delay_run_books(site, 5.0)
     else:
         # The claim is stored after 0.5 s; its owner learns so after 1 s.
         site.set_faults(site.platform_address, delay=0.5, lose_answers=1)
@@ -276,7 +276,7 @@
 
 def test_lost_answer_of_a_service_is_unknown(site: Site) -> None:
     """A service's answer is lost after it booked: never reported as not run."""
-    for address in list_books(site):
+    for address in list_run_books(site):
         site.set_faults(address, lose_answers=1)
     first = book(site.callers[0], 'lost', 'lost')
     assert (first.status, first.refusal()['ran']) == (502, 'unknown')
@@ -291,7 +291,7 @@
 
 def test_service_error_is_recorded_as_an_answer(site: Site) -> None:
     """An error that the service itself returns is recorded and repeated."""
-    for address in list_books(site):
+    for address in list_run_books(site):
         site.set_faults(address, refuse=1)
     first = book(site.callers[0], 'error', 'error')
     again = book(site.callers[1], 'error', 'error')
@@ -375,7 +375,7 @@
     return book(caller, key, key).status == 200
 
 
-def list_books(site: Site) -> list[str]:
+def list_run_books(site: Site) -> list[str]:
     """List the addresses of the services that book runs."""
     return [
         address
@@ -384,9 +384,9 @@
     ]
 
 
-def slow_books(site: Site, delay: float) -> None:
-    """Delay the services' answers, but not their effects, by ``delay`` s."""
-    for address in list_books(site):
+def delay_run_books(site: Site, delay: float) -> None:
+    """Delay the services' answers in seconds; effects happen at once."""
+    for address in list_run_books(site):
         site.set_faults(address, delay=delay)
 
 
@@ -401,9 +401,10 @@
 
 
 def count_effects(site: Site, reference: str) -> int:
-    """Count how often a reference was booked, over all booking services."""
+    """Count how often a reference was booked, over all services."""
     entries = [
-        site.control(address, 'GET', '/entries') for address in list_books(site)
+        site.control(address, 'GET', '/entries')
+        for address in list_run_books(site)
     ]
     return sum(int(found.get(reference, 0)) for found in entries)
 
@@ -413,7 +414,7 @@
     return sum(
         len(site.control(address, 'GET', '/control/ran'))
         for address in site.addresses.values()
-        if address not in list_books(site)
+        if address not in list_run_books(site)
     )
 
 
--- a/tests/test_claims_random.py
+++ b/tests/test_claims_random.py
@@ -101,7 +101,7 @@
     for claims in instances:
         assert await claims.finish(LONG) == 0
     assert max(accounts.ran.values()) == 1
-    # The faults caused refusals, but did not make every held fail.
+    # The faults caused refusals, but did not make every claim fail.
     assert accounts.refused[Ran.NO] > 0
     rows = store.platform._tables['claims'].values()
     states = collections.Counter(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as operators use it."""
+"""Commands that operators run, called in this process."""
 
 import json
 import pathlib
@@ -37,7 +37,7 @@
         ('zone: lk-west-a', 'instance: x', '$.instance: duplicate key'),
     ],
 )
-def test_bad_settings_end_with_a_line_each(
+def test_bad_settings_are_reported_with_their_line(
     tmp_path: pathlib.Path,
     before: str,
     after: str,
@@ -66,7 +66,7 @@
     assert f'{path}:3: $.services[0].nme: unknown key' in ended.stderr
 
 
-def test_verbs_that_only_look(roadgrip: Site) -> None:
+def test_read_only_commands(roadgrip: Site) -> None:
     name = 'roadgrip-services'
     assert name in run('get', site=roadgrip).stdout
     text = run('get', name, site=roadgrip).stdout
@@ -86,19 +86,19 @@
     shown = run('diff', '-f', str(path), site=roadgrip).stdout
     assert '-    slowdown: 0.7' in shown
     assert '+    slowdown: 0.6' in shown
-    tried = run('apply', '-f', str(path), '--dry-run', site=roadgrip)
-    assert tried.exit_code == 0, tried.stderr
+    dry_run = run('apply', '-f', str(path), '--dry-run', site=roadgrip)
+    assert dry_run.exit_code == 0, dry_run.stderr
     assert run('get', 'roadgrip-deployment', site=roadgrip).stdout == text
 
 
-def test_explain_tells_where_a_request_went(roadgrip: Site) -> None:
+def test_explain_shows_the_endpoint_of_a_request(roadgrip: Site) -> None:
     answer = complete(roadgrip.callers[0])
-    told = run('explain', answer.headers['X-Request-Id'], site=roadgrip)
-    assert told.exit_code == 0
-    assert 'report-lk-west' in told.stdout
+    explained = run('explain', answer.headers['X-Request-Id'], site=roadgrip)
+    assert explained.exit_code == 0
+    assert 'report-lk-west' in explained.stdout
 
 
-def test_unreachable_instance_is_one_line() -> None:
+def test_unreachable_instance_is_reported_in_one_line() -> None:
     ended = run('status', '--server', '127.0.0.1:9', '--token', 'x')
     assert ended.exit_code == EXIT_REFUSED
     assert ended.stderr.count('\n') == 1
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,7 +1,7 @@
-"""Accepting files and putting them in force, under races and faults.
+"""Accepting and adopting configuration files, under races and faults.
 
-Several instances run in this process against the stand-in platform; every
-call to it is delayed by seeded amounts, so that the calls interleave.
+Several instances run in this process against the stand-in platform; each call
+to it is delayed by a seeded random time, so that the calls interleave.
 """
 
 import asyncio
@@ -29,8 +29,8 @@
 async def test_two_operators_from_one_base(bench: Bench, seed: int) -> None:
     """Two operators edit generation 1 and apply through two instances.
 
-    Whoever commits second must not overwrite what the first one did: they
-    are refused and shown what was accepted meanwhile.
+    The one that commits second must not overwrite the first one's change: it
+    is refused and shown what was accepted meanwhile.
     """
     JitteryPlatform.generator = random.Random(seed)
     first, second = bench.create_peer('i-1'), bench.create_peer('i-2')
@@ -53,14 +53,14 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-async def test_operators_of_unlike_files_do_not_disturb(
+async def test_operators_of_different_files_do_not_conflict(
     bench: Bench,
     seed: int,
 ) -> None:
-    """Four operators apply four new files at the same moment.
+    """Four operators apply four new files at the same time.
 
-    They compete for the head; each is checked again on top of the others,
-    and all four are accepted in some order.
+    They compete for the head of the history; each file is checked again on
+    top of the others, and all four are accepted in some order.
     """
     JitteryPlatform.generator = random.Random(seed)
     peers = [bench.create_peer(f'i-{number}') for number in range(4)]
@@ -77,7 +77,7 @@
 async def test_answer_lost_after_commit(bench: Bench) -> None:
     """The platform commits an apply, but its answer is lost.
 
-    Reading back by the apply id shows that it was accepted, and repeating it
+    A lookup by the apply id shows that it was accepted, and repeating it
     later, from the same base and after others, gives the same result.
     """
     peer = bench.create_peer('i-1')
@@ -91,12 +91,12 @@
 
 
 @pytest.mark.parametrize('is_overtaken', [True, False])
-async def test_write_that_lands_late(bench: Bench, is_overtaken: bool) -> None:
-    """An apply's connection breaks and its write lands 0.3 s later.
+async def test_delayed_write(bench: Bench, is_overtaken: bool) -> None:
+    """An apply's connection breaks and its write takes effect 0.3 s later.
 
     Meanwhile the operator is told that the outcome is unknown.  If another
-    apply overtakes the write, it never takes effect; repeating the apply
-    settles it either way, and never does it twice.
+    apply overtakes the write, it never takes effect.  Repeating the apply
+    resolves the outcome either way, and never applies it twice.
     """
     peer = bench.create_peer('i-1')
     bench.standin.faults = Faults(late_writes=1, only='/tables')
@@ -105,8 +105,8 @@
     if is_overtaken:
         assert isinstance(await peer.apply(declare(5), 0, 'b'), Success)
     await asyncio.sleep(0.5)
-    landed = await find_apply(peer.writer.platform, 'late')
-    assert (landed.unwrap() is None) is is_overtaken
+    found = await find_apply(peer.writer.platform, 'late')
+    assert (found.unwrap() is None) is is_overtaken
     repeated = await peer.apply(declare(1), 0, 'late')
     if is_overtaken:
         assert isinstance(repeated.failure(), EditConflict)
@@ -119,7 +119,7 @@
 async def test_store_down(bench: Bench) -> None:
     """The store is down while an operator applies.
 
-    The refusal says that this try applied nothing, and nothing was.
+    The refusal states that this attempt applied nothing, and nothing was.
     """
     peer = bench.create_peer('i-1')
     bench.standin.faults = Faults(down=True)
@@ -131,86 +131,88 @@
 
 
 @pytest.mark.parametrize('seed', range(3))
-async def test_nothing_reverts(bench: Bench, seed: int) -> None:
-    """Late messages, slow store replies and a restarted instance meet.
+async def test_revisions_never_go_back(bench: Bench, seed: int) -> None:
+    """Instances get late messages and slow replies; one is restarted.
 
-    Changes are kept back, doubled, split and delivered in any order to
-    instances that also read a slow store.  At every moment what an instance
-    has in force must be exactly what was accepted at that revision, and its
+    Changes are delayed, duplicated, split and delivered in any order to
+    instances that also read a slow store.  The files that an instance has in
+    force must always be exactly those accepted at its revision, and its
     revision may only grow; in the end all have the newest one.
     """
     generator = random.Random(seed)
     JitteryPlatform.generator = generator
     writer = bench.create_peer('writer')
     peers = [bench.create_peer(f'i-{number}', 0.1) for number in range(3)]
-    truth = {0: Snapshot.empty().files}
-    kept: list[Changes] = []
-    readings: list[asyncio.Future[object]] = []
+    accepted_files = {0: Snapshot.empty().files}
+    delayed: list[Changes] = []
+    reads: list[asyncio.Future[object]] = []
     for step in range(20):
         file = generator.choice('fghklm')
         base = writer.snapshot.accepted_generation(file)
         text = declare(step + 1, file, file)
         await writer.apply(text, base, f'{step}')
-        truth[step + 1] = writer.snapshot.files
+        accepted_files[step + 1] = writer.snapshot.files
         for peer in peers:
             source = generator.choice([writer, *peers]).snapshot
             after = generator.choice([peer.snapshot.revision, step // 2])
             offered = list_changes(source, writer.settings, after, limit=150)
-            kept += [offered] if offered else []
+            delayed += [offered] if offered else []
             if generator.randrange(4) == 0:
-                readings.append(asyncio.ensure_future(peer.follower.catch_up()))
-            await offer(peer, generator.sample(kept[-9:], min(2, len(kept))))
-            assert peer.snapshot.files == truth[peer.snapshot.revision]
-    await asyncio.gather(*readings)
+                reads.append(asyncio.ensure_future(peer.follower.catch_up()))
+            await offer(
+                peer, generator.sample(delayed[-9:], min(2, len(delayed)))
+            )
+            assert peer.snapshot.files == accepted_files[peer.snapshot.revision]
+    await asyncio.gather(*reads)
     peers[0] = bench.create_peer('i-0')
     for peer in peers:
         await peer.follower.catch_up()
-        await offer(peer, kept)
+        await offer(peer, delayed)
         assert peer.snapshot.files == writer.snapshot.files
         assert peer.snapshot.revision == 20
 
 
-async def offer(peer: Peer, messages: list[Changes]) -> None:
-    for changes in messages:
+async def offer(peer: Peer, offered: list[Changes]) -> None:
+    for changes in offered:
         before = peer.snapshot.revision
         await peer.follower.accept_changes(changes)
         assert peer.snapshot.revision >= before
 
 
 async def test_large_transfer_while_its_source_changes(bench: Bench) -> None:
-    """A fresh instance takes forty files from a peer, a few a message.
+    """A new instance gets forty files from a peer, a few per message.
 
-    In the middle the source accepts a new version of a file that was sent
-    already and the rest comes from it; the result must be its snapshot, not a
-    mixture.
+    Half-way, the source accepts a new version of a file that it has already
+    sent.  The result must be its newest snapshot, not a mixture of the two.
     """
-    writer, fresh = bench.create_peer('writer'), bench.create_peer('fresh')
+    writer, joining = bench.create_peer('writer'), bench.create_peer('fresh')
     for number in range(40):
         name = f'f{number}'
         await writer.apply(declare(1, name, name), 0, name)
-    fresh.follower.observe_member(Member('writer', 'a', 'writer', 1, 1, 40))
+    joining.follower.observe_member(Member('writer', 'a', 'writer', 1, 1, 40))
     answers = 0
-    while fresh.asked:
-        wanted = fresh.asked.pop()
+    while joining.asked:
+        wanted = joining.asked.pop()
         if answers == 3:
             await writer.apply(declare(7, 'f0', 'f0'), 1, 'again')
         answers += 1
         changes = list_changes(
             writer.snapshot, writer.settings, wanted.after, 500
         )
-        await fresh.follower.accept_changes(changes)
+        await joining.follower.accept_changes(changes)
     assert answers > 5
-    assert fresh.snapshot.files == writer.snapshot.files
-    assert fresh.snapshot.workspaces['f0'].weight == 7
+    assert joining.snapshot.files == writer.snapshot.files
+    assert joining.snapshot.workspaces['f0'].weight == 7
 
 
-async def test_transfer_continued_by_one_who_knows_less(bench: Bench) -> None:
+async def test_transfer_continued_by_a_peer_that_lags(bench: Bench) -> None:
     """A transfer's second message comes from a peer that is behind the first.
 
-    The first sender left out a file that changed lately, to send it last; the
-    second one takes it as sent already.  Adopted, the file would be missing.
+    The first sender orders files by revision, so one that just changed comes
+    last; the second sender assumes that it was sent already.  If the result
+    were adopted, that file would be missing.
     """
-    writer, fresh = bench.create_peer('writer'), bench.create_peer('fresh')
+    writer, joining = bench.create_peer('writer'), bench.create_peer('fresh')
     for number in range(10):
         name = f'f{number}'
         await writer.apply(declare(1, name, name), 0, name)
@@ -218,21 +220,21 @@
     await writer.apply(declare(2, 'f0', 'f0'), 1, 'again')
     settings = writer.settings
     first = list_changes(writer.snapshot, settings, 0, limit=300)
-    await fresh.follower.accept_changes(first)
+    await joining.follower.accept_changes(first)
     after = first.files[-1].revision
-    await fresh.follower.accept_changes(list_changes(behind, settings, after))
-    assert fresh.snapshot.revision == 0
+    await joining.follower.accept_changes(list_changes(behind, settings, after))
+    assert joining.snapshot.revision == 0
     rest = list_changes(writer.snapshot, settings, after)
-    await fresh.follower.accept_changes(rest)
-    assert fresh.snapshot.files == writer.snapshot.files
+    await joining.follower.accept_changes(rest)
+    assert joining.snapshot.files == writer.snapshot.files
 
 
 @pytest.mark.parametrize('damage', [b'name: f', b'\xff', None])
 async def test_damaged_object(bench: Bench, damage: bytes | None) -> None:
-    """The object of an accepted file is damaged or gone.
+    """The stored object of an accepted file is damaged or missing.
 
-    It is never put in force; files accepted later are, the status says which
-    one is not and why, and once the object is mended it comes into force.
+    The file must not come into force, but files accepted later do.  It is
+    listed as pending, and comes into force once the object is repaired.
     """
     writer, other = bench.create_peer('writer'), bench.create_peer('i-1')
     await writer.apply(declare(1), 0, 'a')
@@ -240,7 +242,7 @@
     await writer.apply(declare(2), 1, 'b')
     key = f'configuration/{writer.snapshot.files["f"].digest}'
     blobs = bench.standin._blobs
-    sound = blobs.pop(key)
+    intact = blobs.pop(key)
     if damage is not None:
         blobs[key] = damage
     await writer.apply(declare(1, 'x', 'g'), 0, 'c')
@@ -251,14 +253,14 @@
     assert other.snapshot.pending['f'].generation == 2
     refused = (await other.apply(declare(3, 'x', 'g'), 1, 'd')).failure()
     assert refused.code is RefusalCode.CONFLICT
-    blobs[key] = sound
+    blobs[key] = intact
     await other.follower.catch_up()
     assert not other.snapshot.pending
     assert other.snapshot.workspaces['w'].weight == 2
 
 
 async def test_file_of_a_newer_version(bench: Bench) -> None:
-    """A newer version of the program accepted a key that this one lacks."""
+    """A file has a key that only a newer version of the program knows."""
     writer, other = bench.create_peer('writer'), bench.create_peer('i-1')
     await writer.apply(declare(1), 0, 'a')
     newest = list_changes(writer.snapshot, writer.settings, 0)
@@ -277,10 +279,10 @@
 
 @pytest.mark.parametrize('body', ['{"name": 1}', 'x', None])
 async def test_damaged_history(bench: Bench, body: str | None) -> None:
-    """A row of the history is unreadable or gone, so a change is not known.
+    """A row of the history is unreadable or missing.
 
-    The instance keeps what it has, says why, and goes on once it is mended;
-    an exception would end the reading for good.
+    The instance keeps its configuration, reports the fault, and catches up
+    once the row is repaired; an exception would end its reading for good.
     """
     writer, other = bench.create_peer('writer'), bench.create_peer('i-1')
     await writer.apply(declare(1), 0, 'a')
@@ -288,21 +290,21 @@
     await writer.apply(declare(2), 1, 'b')
     await writer.apply(declare(3), 2, 'c')
     rows = bench.standin._tables['configuration-history']
-    key, sound = list(rows.items())[1]
+    key, intact = list(rows.items())[1]
     rows.pop(key)
     if body is not None:
-        rows[key] = attrs.evolve(sound, body=body)
+        rows[key] = attrs.evolve(intact, body=body)
     await other.follower.catch_up()
     assert other.snapshot.revision == 1
     assert 'configuration-history' in other.follower.fault
-    rows[key] = sound
+    rows[key] = intact
     await other.follower.catch_up()
     assert other.snapshot.revision == 3
     assert not other.follower.fault
 
 
-async def test_far_behind(bench: Bench) -> None:
-    """An instance that missed 230 changes has them all after one reading."""
+async def test_catching_up_on_many_changes(bench: Bench) -> None:
+    """An instance that missed 230 changes adopts them all in one read."""
     writer, other = bench.create_peer('writer', 0), bench.create_peer('i-1')
     await writer.apply(declare(1), 0, 'first')
     await other.follower.catch_up()
@@ -313,10 +315,10 @@
 
 
 async def test_removal_and_references(bench: Bench) -> None:
-    """A file that others refer to cannot go; the line of the reference is told.
+    """A file that another one refers to cannot be removed.
 
-    Afterwards it goes, its workspace's key is unknown, and it may come back
-    from its next generation only.
+    The problem names the line of the reference.  Without references the file
+    is removed, and can be added again only on top of its last generation.
     """
     peer = bench.create_peer('i-1')
     group = (
@@ -342,8 +344,8 @@
     assert isinstance(await peer.apply(group, 2, 'g2'), Success)
 
 
-def test_two_readers_a_zone() -> None:
-    """The store is read by two instances a zone, whatever their number."""
+def test_two_readers_per_zone() -> None:
+    """Two instances per zone read the store; draining ones do not count."""
     names = [f'i-{number}' for number in range(7)]
     members = MemberTable()
     for name in names:
--- a/tests/test_configuration_site.py
+++ b/tests/test_configuration_site.py
@@ -1,4 +1,4 @@
-"""Accepted configuration in force at real instances, under failure."""
+"""Adoption of accepted configuration by real instances, under failures."""
 
 import hashlib
 import pathlib
@@ -20,11 +20,11 @@
 from tests.conftest import ROADGRIP
 
 #: Seconds within which an accepted change must be in force everywhere.
-PROMISE = 5
-BOARD = 'example-key-board'
-LATE = 'key-of-a-late-workspace'
-#: Seconds of waiting that an instance cut off outlasts.
-IN_VAIN = 0.5
+ADOPTION_TIMEOUT = 5
+BOARD_KEY = 'example-key-board'
+ADDED_KEY = 'key-of-a-late-workspace'
+#: Seconds to wait for an adoption that must not happen.
+NO_ADOPTION_SECONDS = 0.5
 
 
 @pytest.fixture(scope='module')
@@ -38,7 +38,9 @@
     return site.control(instance.operator, 'GET', '/operator/status')
 
 
-def wait_for(holds: Callable[[], bool], seconds: float = PROMISE) -> None:
+def wait_for(
+    holds: Callable[[], bool], seconds: float = ADOPTION_TIMEOUT
+) -> None:
     limit = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < limit
@@ -64,7 +66,7 @@
     return site.apply(path)['revision']
 
 
-def add_workspace(site: Site, key: str = LATE, through: int = 0) -> None:
+def add_workspace(site: Site, key: str = ADDED_KEY, through: int = 0) -> None:
     path = site.files[3]
     content = yaml.safe_load(path.read_text())
     digest = hashlib.sha256(key.encode()).hexdigest()
@@ -75,10 +77,10 @@
     site.apply(path, through)
 
 
-def wait_in_vain(site: Site, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Wait briefly for an instance that can't adopt what was accepted."""
+def check_not_adopted(site: Site, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Check that an instance still lacks an accepted file after a wait."""
     with monkeypatch.context() as patched:
-        patched.setattr(sites, '_ADOPT_SECONDS', IN_VAIN)
+        patched.setattr(sites, '_ADOPT_SECONDS', NO_ADOPTION_SECONDS)
         with pytest.raises(TimeoutError):
             site.wait_adopted()
 
@@ -86,13 +88,13 @@
 def test_removed_workspace(site: Site) -> None:
     """An operator removes a workspace while it has a request in progress.
 
-    The request finishes; within seconds no instance takes the key any more.
+    The request finishes; within seconds no instance accepts its key.
     """
     answers: list[Answer] = []
     body = {'model': 'roadgrip-report', 'prompt': 'x', 'max_tokens': 900}
     long_call = threading.Thread(
         target=lambda: answers.append(
-            call(site.callers[1], '/v1/completions', body, key=BOARD),
+            call(site.callers[1], '/v1/completions', body, key=BOARD_KEY),
         ),
     )
     long_call.start()
@@ -101,7 +103,7 @@
     short = {**body, 'max_tokens': 1}
     wait_for(
         lambda: all(
-            call(caller, '/v1/completions', short, key=BOARD).status == 401
+            call(caller, '/v1/completions', short, key=BOARD_KEY).status == 401
             for caller in site.callers
         ),
     )
@@ -111,64 +113,64 @@
 
 
 def test_zone_cut_off_during_an_apply(site: Site) -> None:
-    """A zone is cut off, an apply is accepted, the cut heals.
+    """An apply is accepted while a zone is isolated.
 
-    The zone carries on with what it had; the others say why it lags; healed,
-    it has the newest revision within seconds and never had an older one.
+    The zone keeps serving with its configuration, and the others report why
+    it lags.  Within seconds of reconnecting it has the newest revision.
     """
-    cut = site.instances[2]
-    before = read_status(site, cut)['revision']
-    site.network.isolate(cut.zone)
+    isolated = site.instances[2]
+    before = read_status(site, isolated)['revision']
+    site.network.isolate(isolated.zone)
     revision = change_workspaces(site, 5)
 
     def list_reasons() -> dict[str, str]:
         members = read_status(site, site.instances[0])['members']
         return {member['name']: member['reason'] for member in members}
 
-    wait_for(lambda: 'nothing heard' in list_reasons()[cut.name], 15)
+    wait_for(lambda: 'nothing heard' in list_reasons()[isolated.name], 15)
     assert not list_reasons()[site.instances[1].name]
-    assert read_status(site, cut)['revision'] == before
-    assert complete(cut.caller).status == 200
+    assert read_status(site, isolated)['revision'] == before
+    assert complete(isolated.caller).status == 200
     site.network.heal()
     wait_for_revision(site, revision)
 
 
-def test_started_site_has_the_last_file(
+def test_start_waits_until_all_instances_have_all_files(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A stream of a test has no end, and only beside load.
+    """Guards against a site that counts as started too early.
 
-    A site counted as started while one of its instances lacked the last file,
-    the one that declares the workspaces.  It refused the first stream; the
-    test went on with others and saw seconds later that one had no end.
+    If an instance still lacks the last file, which declares the workspaces,
+    it refuses the first calls of a test; under load this showed up as a
+    stream without an end.
     """
     lagging = site.instances[2]
     site.network.isolate(lagging.zone)
     add_workspace(site)
     body = {'model': 'roadgrip-report', 'prompt': 'x', 'stream': True}
-    refused = call(lagging.caller, '/v1/completions', body, key=LATE)
+    refused = call(lagging.caller, '/v1/completions', body, key=ADDED_KEY)
     assert refused.status == 503
     assert refused.refusal()['code'] == 'not_ready'
     assert refused.refusal()['ran'] == 'no'
     assert refused.refusal()['retry_after'] > 0
     assert b'[DONE]' not in refused.body
-    wait_in_vain(site, monkeypatch)
+    check_not_adopted(site, monkeypatch)
     site.network.heal()
     site.wait_adopted()
-    answered = call(lagging.caller, '/v1/completions', body, key=LATE)
+    answered = call(lagging.caller, '/v1/completions', body, key=ADDED_KEY)
     assert answered.status == 200
     assert b'[DONE]' in answered.body
 
 
-def test_started_site_has_what_its_first_instance_lacks(
+def test_start_waits_also_for_its_first_instance(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against taking the first instance's revision for the newest."""
+    """Guards against assuming that the first instance is never behind."""
     site.network.isolate(site.zones[0])
     add_workspace(site, 'key-accepted-elsewhere', through=1)
-    wait_in_vain(site, monkeypatch)
+    check_not_adopted(site, monkeypatch)
     site.network.heal()
     site.wait_adopted()
 
@@ -192,7 +194,7 @@
 
 
 def test_racing_operators_over_http(site: Site) -> None:
-    """The loser of a race sees what was accepted meanwhile."""
+    """An operator who applies on an old base sees what was accepted since."""
     path = site.files[3]
     change_workspaces(site, 6)
     body = {
@@ -208,10 +210,10 @@
 
 
 def test_fresh_instance_with_the_store_down(site: Site) -> None:
-    """The store is down and an instance is replaced.
+    """Instances are started while the store is down.
 
-    One that finds a peer by its seeds takes the newest configuration from it
-    and serves; one that finds nobody stays not ready and says why.
+    One that reaches a peer through its seeds gets the newest configuration
+    from it and serves; one that reaches none stays not ready and reports why.
     """
     revision = change_workspaces(site, 7)
     settings = yaml.safe_load(site.instances[0].settings.read_text())
@@ -236,7 +238,7 @@
 
 
 def test_restarted_instance(site: Site) -> None:
-    """An instance is killed, changes are accepted, and it starts again."""
+    """An instance that was down during a change adopts it after its start."""
     instance = site.instances[2]
     instance.process.kill()
     revision = change_workspaces(site, 8)
@@ -254,7 +256,7 @@
     return f'{finished.exit_code} {finished.output}'
 
 
-def test_operators_verbs(site: Site, tmp_path: pathlib.Path) -> None:
+def test_operator_commands(site: Site, tmp_path: pathlib.Path) -> None:
     """A file is applied, changed, rolled back, removed and applied again."""
     path = tmp_path / 'extra.yaml'
     path.write_text('name: extra\n')
@@ -288,7 +290,7 @@
 
 
 def test_check_of_a_folder(tmp_path: pathlib.Path) -> None:
-    """Files of a folder are checked together, every problem at its line."""
+    """Files of a folder are checked together; each problem has its line."""
     (tmp_path / '1.yaml').write_text(
         'name: a\nworkspaces:\n  - name: w\n    key_digests: []\n'
         '    services:\n      - unknown\n',
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""What a caller hears while an instance may lack what was accepted."""
+"""Answers to callers while an instance may lack accepted configuration."""
 
 import asyncio
 import itertools
@@ -25,10 +25,10 @@
 
 KEY = 'key-of-a-late-workspace'
 DEADLINE = 10.0
-#: Seconds in which nothing else may happen.
+#: Seconds after which a call that waits for the store must still wait.
 BRIEF = 0.2
-#: Seconds between two readings, but for the steps of the clock.
-READ_GAP = 0.49
+#: Least seconds between two reads of the store; 0.5 less a clock tolerance.
+MIN_READ_INTERVAL = 0.49
 
 
 async def apply(peer: Peer, name: str, digest: str) -> None:
@@ -40,7 +40,7 @@
     assert not isinstance(accepted, Failure)
 
 
-async def find(
+async def resolve_workspace(
     confirmation: Confirmation,
     peer: Peer,
     key: str,
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 async def lagging(bench: Bench) -> Peer:
-    """Give an instance that has the first of two accepted files."""
+    """Return an instance that has only the first of two accepted files."""
     writer, reader = bench.create_peer('writer'), bench.create_peer('reader')
     await apply(writer, 'first', digest_key('another'))
     await reader.follower.catch_up()
@@ -66,19 +66,19 @@
 async def test_key_accepted_elsewhere(lagging: Peer) -> None:
     """Guards against 401 for a key whose file is not in force here yet."""
     confirmation = Confirmation(lagging.holder, lagging.follower)
-    found = await find(confirmation, lagging, KEY)
+    found = await resolve_workspace(confirmation, lagging, KEY)
     assert found.unwrap().name == 'second'
 
 
 async def test_unknown_key_is_refused_for_good(lagging: Peer) -> None:
-    """Guards against sending callers with a wrong key round for ever."""
+    """Guards against making callers with a wrong key retry for ever."""
     confirmation = Confirmation(lagging.holder, lagging.follower)
-    found = await find(confirmation, lagging, 'nobody')
+    found = await resolve_workspace(confirmation, lagging, 'nobody')
     assert found.failure().code is RefusalCode.UNAUTHENTICATED
     assert found.failure().retry_after is None
 
 
-async def test_store_out_of_reach(
+async def test_unreachable_store(
     bench: Bench,
     lagging: Peer,
     monkeypatch: pytest.MonkeyPatch,
@@ -87,19 +87,19 @@
     monkeypatch.setattr(confirmations, '_WAIT_LIMIT', DEADLINE)
     confirmation = Confirmation(lagging.holder, lagging.follower)
     await bench.server.close()
-    began = monotonic()
-    found = await find(confirmation, lagging, KEY)
+    started = monotonic()
+    found = await resolve_workspace(confirmation, lagging, KEY)
     assert found.failure().code is RefusalCode.NOT_READY
     assert found.failure().retry_after > 0
-    # At once, and not when there is no time left.
-    assert monotonic() - began < DEADLINE / 2
+    # Refused at once, not only when the deadline is near.
+    assert monotonic() - started < DEADLINE / 2
 
 
-async def test_stop_ends_the_wait_for_a_reading(
+async def test_stop_ends_the_wait_for_the_store(
     bench: Bench,
     lagging: Peer,
 ) -> None:
-    """Guards against a stop that cuts who waits for the store."""
+    """Guards against a stop that drops calls that wait for the store."""
     drain = Drain(lambda: 1, lambda: StopTimes(grace=0, limit=DEADLINE))
     table = EndpointTable()
     limits = WorkspaceLimits(MemberTable(), table, Counters())
@@ -117,27 +117,31 @@
     assert listed.failure().retry_after == 0
 
 
-async def test_wrong_keys_share_readings(
+async def test_wrong_keys_share_reads(
     lagging: Peer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a reading of the store for each wrong key."""
+    """Guards against a read of the store for each wrong key."""
     confirmation = Confirmation(lagging.holder, lagging.follower)
-    readings = []
+    reads = []
     catch_up = lagging.follower.catch_up
 
-    async def count_reading() -> object:
-        readings.append(monotonic())
+    async def count_read() -> object:
+        reads.append(monotonic())
         return await catch_up()
 
-    monkeypatch.setattr(lagging.follower, 'catch_up', count_reading)
+    monkeypatch.setattr(lagging.follower, 'catch_up', count_read)
     calls = []
     for _ in range(200):
-        calls.append(asyncio.create_task(find(confirmation, lagging, 'nobody')))
+        calls.append(
+            asyncio.create_task(
+                resolve_workspace(confirmation, lagging, 'nobody')
+            )
+        )
         await asyncio.sleep(0.002)
     answers = await asyncio.gather(*calls)
     codes = {answer.failure().code for answer in answers}
     assert codes == {RefusalCode.UNAUTHENTICATED}
-    gaps = [later - sooner for sooner, later in itertools.pairwise(readings)]
-    assert min(gaps) > READ_GAP
-    assert len(readings) < len(calls) / 10
+    gaps = [later - earlier for earlier, later in itertools.pairwise(reads)]
+    assert min(gaps) > MIN_READ_INTERVAL
+    assert len(reads) < len(calls) / 10
--- a/tests/test_continuations.py
+++ b/tests/test_continuations.py
@@ -1,4 +1,4 @@
-"""When an answer may be continued or collected, decided without engines."""
+"""Rules for continuing and buffering answers, tested without engines."""
 
 import json
 
@@ -22,7 +22,7 @@
     return json.dumps(fields).encode()
 
 
-def raw(**fields: object) -> dict[str, msgspec.Raw]:
+def raw_fields(**fields: object) -> dict[str, msgspec.Raw]:
     return msgspec.json.decode(
         encode(model='m', prompt='p', **fields),
         type=dict[str, msgspec.Raw],
@@ -44,11 +44,11 @@
         ({'temperature': 0, 'echo': True}, False),
     ],
 )
-def test_only_a_settled_answer_is_continued(
+def test_only_a_deterministic_answer_is_continued(
     fields: dict[str, object],
     expected: bool,
 ) -> None:
-    assert is_deterministic(raw(**fields)) is expected
+    assert is_deterministic(raw_fields(**fields)) is expected
 
 
 def test_text_of_events() -> None:
@@ -61,14 +61,14 @@
     assert read_text([DONE]) is None
 
 
-def test_another_build_does_not_continue() -> None:
+def test_another_build_of_a_model_is_rejected() -> None:
     """Two engines run different builds of a model during a rollout.
 
-    Their texts need not fit together, so the second one's are not taken.
+    Their texts may differ, so the second build must not continue the first.
     """
     continuation = Continuation(
         'a',
-        raw(id='first', system_fingerprint='one'),
+        raw_fields(id='first', system_fingerprint='one'),
     )
     adapted = continuation.adapt(encode(id='other', system_fingerprint='one'))
     assert json.loads(adapted)['id'] == 'first'
@@ -77,23 +77,24 @@
 
 
 def test_nothing_follows_the_terminal_event() -> None:
-    """An engine sends more events behind its [DONE] in the same packet."""
+    """An engine sends more events after its [DONE] in the same packet."""
     sent = b'id: a.0\ndata: [DONE]\n\nid: a.1\ndata: {}\n\n'
     assert EventSequence('a').feed(sent) == [Event(0, DONE)]
 
 
-def test_patience_leaves_time_for_another_engine() -> None:
+def test_event_timeouts_leave_time_for_another_engine() -> None:
     assert EventTimeouts.from_prediction(0.1, 60).first == 3
     assert EventTimeouts.from_prediction(0.1, 4).first == 2
     assert EventTimeouts.from_prediction(10, 60).first == 30
     assert EventTimeouts.from_prediction(10, 12).first == 15
 
 
-async def test_whole_answers_take_bounded_memory() -> None:
-    """Answers to be delivered whole are longer than there is memory for.
+async def test_buffered_answers_take_bounded_memory() -> None:
+    """Buffered answers need more memory than their budget allows.
 
-    One beyond its own bound is refused for good, one beyond that of all for
-    now, and what a delivery took is free again when it is gone.
+    An answer beyond the limit of one answer is refused for good, one beyond
+    the limit of all answers with a time to retry.  The memory of a delivery
+    is released with its response.
     """
     size = 100 - EVENT_OVERHEAD
     event = Event(0, b'x' * size)
@@ -116,7 +117,7 @@
     assert budget.used == 100
 
 
-async def test_events_that_do_not_join_are_no_answer() -> None:
+async def test_events_that_cannot_be_joined_are_refused() -> None:
     delivery = BufferedDelivery(False, 'r-1', BufferBudget(1000, 1000))
     with pytest.raises(DeliveryError) as raised:
         await delivery.deliver([Event(0, b'no json'), Event(1, DONE)])
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""A request finishes or fails within its time."""
+"""Requests finish or fail by their deadline."""
 
 import asyncio
 import contextlib
@@ -38,8 +38,8 @@
             endpoint.wake()
 
 
-def timed(make_call: Callable[[], Answer]) -> tuple[Answer, float]:
-    """Make a call and tell how long it took."""
+def time_call(make_call: Callable[[], Answer]) -> tuple[Answer, float]:
+    """Make a call, and return the answer with the seconds that it took."""
     started = time.monotonic()
     answer = make_call()
     return answer, time.monotonic() - started
@@ -48,13 +48,13 @@
 @pytest.mark.parametrize('model', ['roadgrip-report', 'roadgrip-corridor'])
 @pytest.mark.parametrize('stream', [False, True])
 def test_frozen_engine(site: Site, model: str, stream: bool) -> None:
-    """An engine takes a prompt and never answers; the caller hears in time.
+    """An engine accepts a prompt and never answers; the caller is told in time.
 
-    No other engine is there to take the prompt, so this one is given all the
-    time there is.
+    No other engine could run the prompt, so this one gets all the time until
+    the deadline.
     """
     headers = {'X-Deadline-Seconds': '1'}
-    answer, taken = timed(
+    answer, taken = time_call(
         lambda: complete(
             site.callers[0],
             headers=headers,
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize('key', ['', 'frozen-book'])
 def test_frozen_service(site: Site, key: str) -> None:
-    answer, taken = timed(
+    answer, taken = time_call(
         lambda: book(site.callers[0], 'frozen', key, deadline=1),
     )
     assert (answer.status, answer.refusal()['ran']) == (504, 'unknown')
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 async def start_server() -> AsyncIterator[Callable[[Serve], Awaitable[int]]]:
-    """Serve a handler as an instance does, on a port of its own."""
+    """Yield a function that serves a handler and returns its port."""
     servers: list[http_servers.HttpServer] = []
 
     async def start(handler: Serve) -> int:
@@ -95,22 +95,22 @@
         await server.stop()
 
 
-async def test_caller_that_does_not_read(
+async def test_caller_that_reads_nothing(
     start_server: Callable[[Serve], Awaitable[int]],
 ) -> None:
-    """A caller asks for a large answer and reads nothing of it.
+    """A caller requests a large answer and reads nothing of it.
 
-    The sending must end with the deadline and a small margin, or such callers
-    would occupy instances, and a planned stop would never end.
+    Sending must end at the deadline plus a small margin, or such callers would
+    occupy instances, and a planned stop would never end.
     """
     sent: list[float] = []
 
     async def answer(http_request: web.Request) -> web.Response:
-        began = monotonic()
-        call = Call(http_request, 'id', began, began + 0.3)
+        started = monotonic()
+        call = Call(http_request, 'id', started, started + 0.3)
         response = web.Response(body=bytes(50_000_000))
         await send_response(call, response)
-        sent.append(monotonic() - began)
+        sent.append(monotonic() - started)
         return response
 
     port = await start_server(answer)
@@ -125,9 +125,9 @@
 async def test_sent_means_handed_to_the_network(
     start_server: Callable[[Serve], Awaitable[int]],
 ) -> None:
-    """A caller reads slowly; its answer is counted until all of it is gone.
+    """A slow caller's answer counts as sent only when its buffer is empty.
 
-    A planned stop that ended earlier would cut what still waits in memory.
+    A planned stop that ended earlier would truncate what is still buffered.
     """
     left: list[int] = []
 
@@ -154,11 +154,11 @@
     assert left == [0]
 
 
-async def test_slow_headers_are_cut_off(
+async def test_slow_headers_time_out(
     start_server: Callable[[Serve], Awaitable[int]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caller sends its headers byte by byte and holds the connection."""
+    """A caller that sends headers byte by byte is cut off, others are not."""
     monkeypatch.setattr(http_servers, 'HEAD_TIMEOUT', 0.5)
 
     async def answer(_http_request: web.Request) -> web.Response:
@@ -167,13 +167,13 @@
 
     port = await start_server(answer)
     reader, slow = await asyncio.open_connection('127.0.0.1', port)
-    heard, ordinary = await asyncio.open_connection('127.0.0.1', port)
+    ordinary_reader, ordinary = await asyncio.open_connection('127.0.0.1', port)
     ordinary.write(b'GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n')
     for byte in b'GET / HTTP/1.1':
         slow.write(bytes([byte]))
         await asyncio.sleep(0.01)
     with contextlib.suppress(ConnectionError):
         assert not await asyncio.wait_for(reader.read(), 1)
-    assert b'slow but heard' in await heard.read()
+    assert b'slow but heard' in await ordinary_reader.read()
     slow.close()
     ordinary.close()
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Operators' files and settings: every problem, at its line."""
+"""Parsing of operators' files and settings; problems have their lines."""
 
 import pathlib
 
@@ -56,7 +56,7 @@
     assert any(expected in str(problem) for problem in problems), problems
 
 
-def test_all_problems_are_told_at_once() -> None:
+def test_all_problems_are_reported_at_once() -> None:
     text = 'name: A B\ndeployment: {name: x, zones: 1}\nextra: 1'
     problems = parse_file(text, 'f.yaml', {}).failure()
     assert len(problems) == 2
@@ -74,7 +74,7 @@
     assert str(settings.drain_grace) == '2.5'
 
 
-def test_settings_name_a_bad_address(tmp_path: pathlib.Path) -> None:
+def test_bad_address_in_settings_is_reported(tmp_path: pathlib.Path) -> None:
     text = (REPOSITORY / 'examples' / 'instance.yaml').read_text()
     path = tmp_path / 'instance.yaml'
     path.write_text(text.replace('10.20.1.2:8082', 'somewhere:8082'))
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Event streams: whatever arrives, only the right events in order pass."""
+"""Event streams yield only the events of their attempt, in order."""
 
 import pytest
 from hypothesis import given
@@ -21,10 +21,10 @@
     kinds: list[str],
     size: int,
 ) -> None:
-    """An engine mixes another caller's events in and repeats some.
+    """An engine mixes in events of another caller and repeats some.
 
     The caller must see its own events once each, in order, however the bytes
-    are cut into reads.
+    are split into reads.
     """
     sent, number = b'', 0
     for kind in kinds:
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -22,6 +22,7 @@
 from kelproad.transport.deadlines import monotonic
 from kelproad.transport.http import create_session
 
+#: Seconds of timeouts that must not expire.
 LONG = 30.0
 DIGEST = 'the digest of a request'
 ANSWER = RecordedAnswer(200, [('Content-Type', 'image/png')], b'\x89PNG\xff')
@@ -35,18 +36,18 @@
     client: PlatformClient
 
     def row(self, key: str) -> dict[str, object]:
-        """Return the claim that stands under a key of the workspace."""
+        """Return the stored claim on a key of workspace ``w``."""
         return json.loads(self.platform._tables['claims'][f'w/{key}'].body)
 
     @property
     def transactions(self) -> int:
-        """Number of transactions so far."""
+        """Number of transactions received since the start."""
         return self.platform.calls['POST /tables/transact']
 
 
 @pytest.fixture
 async def store() -> AsyncIterator[Store]:
-    """Run a platform inside the test."""
+    """Run the stand-in platform in this process, with a client of it."""
     platform = PlatformStandIn()
     server = TestServer(platform.create_application(), host='127.0.0.1')
     await server.start_server()
@@ -60,7 +61,7 @@
 
 
 def create_claims(store: Store, name: str = 'i-1') -> Claims:
-    """Build the claims of an instance of its own."""
+    """Build the ``Claims`` of a new instance with this name."""
     identity = Identity.from_start(name, 'zone')
     return Claims(identity, store.client, Counters())
 
@@ -75,10 +76,10 @@
 
 
 async def test_same_key_twice_in_one_group(store: Store) -> None:
-    """Two callers send one key to one instance in the same moment.
+    """Several callers send one key to one instance at the same time.
 
-    Both claims wait for the same transaction, whose conditions all hold; if
-    it took both, both callers would be told to dispatch.
+    Their claims wait for the same transaction, whose conditions all hold.  If
+    it contained more than one of them, more than one caller would dispatch.
     """
     claims = create_claims(store)
     found = await asyncio.gather(*(acquire(claims, 'k') for _ in range(5)))
@@ -86,7 +87,7 @@
 
 
 async def test_conflict_fails_only_its_own_row(store: Store) -> None:
-    """One key of a group is taken; the others are claimed all the same."""
+    """One key of a group is already claimed; the others are claimed anyway."""
     await acquire(create_claims(store, 'i-2'), 'k-3')
     claims = create_claims(store)
     before = store.transactions
@@ -116,7 +117,7 @@
     assert list(store.platform._tables['claims']) == ['a']
 
 
-async def test_claim_that_lands_late_is_taken_back(store: Store) -> None:
+async def test_claim_written_late_is_released(store: Store) -> None:
     """A slow store writes a claim after its caller was refused."""
     claims = create_claims(store)
     store.platform.faults = Faults(delay=0.3)
@@ -127,11 +128,11 @@
     assert isinstance(await acquire(create_claims(store, 'i-2'), 'k'), Success)
 
 
-async def test_late_release_frees_nobody_elses_claim(store: Store) -> None:
-    """A release is repeated, and its first sending arrives very late.
+async def test_late_release_leaves_a_newer_claim(store: Store) -> None:
+    """A release is retried, and its first transmission arrives very late.
 
-    By then another instance holds the key; freeing it would let a third
-    instance run the work a second time.
+    By then another instance holds the key; freeing it would let a third one
+    run the work a second time.
     """
     first = (await acquire(create_claims(store), 'k')).unwrap()
     claims = create_claims(store)
@@ -155,7 +156,7 @@
     assert repeated.unwrap() == ANSWER
 
 
-async def test_too_large_answer_is_told_as_run(store: Store) -> None:
+async def test_too_large_answer_is_reported_as_run(store: Store) -> None:
     claims = create_claims(store)
     claim = (await acquire(claims, 'k')).unwrap()
     large = attrs.evolve(ANSWER, body=bytes(100_000))
@@ -164,8 +165,8 @@
     assert refused.failure().ran is Ran.YES
 
 
-async def test_run_without_an_answer_is_told_as_run(store: Store) -> None:
-    """An answer was too long to pass on; the work is known to have run."""
+async def test_run_without_an_answer_is_reported_as_run(store: Store) -> None:
+    """An answer was too long to forward, but the work is known to have run."""
     claims = create_claims(store)
     claims.record_without_answer((await acquire(claims, 'k')).unwrap())
     assert await claims.finish(LONG) == 0
@@ -173,11 +174,11 @@
     assert refused.failure().ran is Ran.YES
 
 
-async def test_old_answer_is_told_as_run(
+async def test_expired_answer_is_reported_as_run(
     store: Store,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After the keeping time nothing runs again, and the caller hears why."""
+    """After the retention time the work is still not run again."""
     claims = create_claims(store)
     claim = (await acquire(claims, 'k')).unwrap()
     await claims.record(claim, ANSWER, monotonic() + LONG)
@@ -187,7 +188,7 @@
 
 
 async def test_silent_store_refuses_at_once(store: Store) -> None:
-    """While a hanging store is being tried, others do not wait for it."""
+    """While one call probes a hanging store, others do not wait for it."""
     claims = create_claims(store)
     store.platform.faults = Faults(hang=True)
     assert isinstance(await acquire(claims, 'k-0', 1.2), Failure)
