--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -172,8 +172,8 @@
         assert peer.snapshot.revision == 20
 
 
-async def offer(peer: Peer, offered: list[Changes]) -> None:
-    for changes in offered:
+async def offer(peer: Peer, messages: list[Changes]) -> None:
+    for changes in messages:
         before = peer.snapshot.revision
         await peer.follower.accept_changes(changes)
         assert peer.snapshot.revision >= before
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -27,7 +27,7 @@
 DEADLINE = 10.0
 #: Seconds after which a call that waits for the store must still wait.
 BRIEF = 0.2
-#: Least seconds between two reads of the store; 0.5 less a clock tolerance.
+#: Least seconds between two reads of the store, less a clock tolerance.
 MIN_READ_INTERVAL = 0.49
 
 
--- a/tests/test_grouping.py
+++ b/tests/test_grouping.py
@@ -178,7 +178,7 @@
     store: Store,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After the retention time the work is still not run again."""
+    """After the retention time, work is reported as run and not run again."""
     claims = create_claims(store)
     claim = (await acquire(claims, 'k')).unwrap()
     await claims.record(claim, ANSWER, monotonic() + LONG)
