--- a/tests/clients.py
+++ b/tests/clients.py
@@ -1,4 +1,4 @@
-"""Calls as callers make them, for the tests."""
+"""HTTP calls to the site under test, made as a caller would."""
 
 import json
 from urllib import error, request
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Answer:
-    """An HTTP answer, read whole."""
+    """An HTTP response whose body has been read completely."""
 
     status: int
     headers: dict[str, str]
@@ -22,7 +22,7 @@
         return json.loads(self.body)
 
     def refusal(self) -> dict[str, object]:
-        """Return the refusal that the body carries."""
+        """Return the refusal in the ``error`` field of the body."""
         return self.fields()['error']
 
 
@@ -35,7 +35,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30,
 ) -> Answer:
-    """Make one call and read its whole answer."""
+    """Make one call; return error statuses as answers, too."""
     encoded = body
     if body is not None and not isinstance(body, bytes):
         encoded = json.dumps(body).encode()
@@ -59,7 +59,7 @@
 
 
 def complete(address: str, prompt: str = 'hello', **fields: object) -> Answer:
-    """Ask for a completion."""
+    """Request a completion of a few tokens."""
     headers = fields.pop('headers', None)
     body = {'model': MODEL, 'prompt': prompt, 'max_tokens': 4, **fields}
     return call(address, '/v1/completions', body, headers=headers)
@@ -72,7 +72,7 @@
     deadline: float | None = None,
     **options: object,
 ) -> Answer:
-    """Log a test run, under an idempotency key if one is given."""
+    """Book a test run, under an idempotency key if one is given."""
     headers = {'Idempotency-Key': key} if key else {}
     if deadline is not None:
         headers['X-Deadline-Seconds'] = str(deadline)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests share: small sites on loopback."""
+"""Fixtures that the tests share: small sites on loopback."""
 
 import pathlib
 from collections.abc import AsyncIterator, Iterator
@@ -13,8 +13,8 @@
 from testbed.site import Site, SitePlan, start_site
 from tests.fakes import Bench
 
-# The verdict must not depend on the machine's mood: the same examples each
-# time, and no judging of how long it takes to draw them.
+# Results must not depend on how busy the machine is: the examples are the same
+# in each run, and neither generating nor testing one has a time limit.
 hypothesis.settings.register_profile(
     'repeatable',
     derandomize=True,
@@ -36,9 +36,9 @@
 
 @pytest.fixture(scope='session')
 def roadgrip(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Site]:
-    """Run a small Roadgrip site that no test breaks.
+    """Run a small Roadgrip site for tests that do not disturb it.
 
-    Tests that kill, cut or freeze something start a site of their own.
+    Tests that kill or freeze processes or cut the network start their own.
     """
     plan = SitePlan(example=ROADGRIP, endpoints_per_group=3)
     with start_site(plan, tmp_path_factory.mktemp('roadgrip')) as site:
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines of a site, as tests set and read them."""
+"""Control and inspection of a site's stand-in engines."""
 
 import json
 import time
@@ -7,7 +7,7 @@
 from testbed.site import Site
 from tests.clients import KEY, MODEL
 
-_POLL = 0.1
+_POLL_SECONDS = 0.1
 #: Characters of the last payload that a failed check prints.
 _PAYLOAD_SHOWN = 120
 
@@ -22,14 +22,14 @@
     names: list[str] | None = None,
     **faults: object,
 ) -> None:
-    """Set the faults of some engines, and put the others right."""
+    """Set the faults of some engines, or all, and clear the others."""
     for name in list_engines(site):
         chosen = names is None or name in names
         site.set_faults(site.addresses[name], **(faults if chosen else {}))
 
 
 def list_held(site: Site) -> dict[str, dict[str, object]]:
-    """Read what every report engine holds."""
+    """Map each report engine to its own account of what it holds."""
     return {
         name: site.control(site.addresses[name], 'GET', '/v1/held')
         for name in list_engines(site)
@@ -37,7 +37,7 @@
 
 
 def list_cancels(site: Site) -> list[object]:
-    """List what running instances still want engines to release."""
+    """List the cancels of all instances that no engine has confirmed."""
     return [
         cancel
         for instance in site.instances
@@ -48,29 +48,29 @@
 
 
 def wait_until_free(site: Site, seconds: float) -> dict[str, object]:
-    """Wait until no engine holds anything; return what is left."""
-    limit = time.monotonic() + seconds
+    """Wait until no engine holds anything; return those that do."""
+    give_up_at = time.monotonic() + seconds
     while True:
-        left = {
+        busy = {
             name: held
             for name, held in list_held(site).items()
             if held['held'] or held['used_tokens']
         }
-        if not left or time.monotonic() > limit:
-            return left
-        time.sleep(_POLL)
+        if not busy or time.monotonic() > give_up_at:
+            return busy
+        time.sleep(_POLL_SECONDS)
 
 
 def wait_until_confirmed(site: Site, seconds: float) -> list[object]:
-    """Wait until every cancel is confirmed; return what is left."""
-    limit = time.monotonic() + seconds
-    while list_cancels(site) and time.monotonic() < limit:
-        time.sleep(_POLL)
+    """Wait until every cancel is confirmed; return the open ones."""
+    give_up_at = time.monotonic() + seconds
+    while list_cancels(site) and time.monotonic() < give_up_at:
+        time.sleep(_POLL_SECONDS)
     return list_cancels(site)
 
 
 class OpenStream:
-    """A streamed completion that is read piece by piece."""
+    """A streamed completion that is read event by event."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         wait: bool = True,
         **fields: object,
     ) -> None:
-        """Ask for it; wait for the head of the answer unless told not to."""
+        """Send the request; wait for the headers if ``wait`` is set."""
         self._connection = HTTPConnection(address, timeout=30)
         body = {'model': MODEL, 'prompt': prompt, 'stream': True, **fields}
         self._connection.request(
@@ -93,25 +93,26 @@
             },
         )
         self.response = self._connection.getresponse() if wait else None
-        self._rest = b''
+        self._unparsed = b''
         self.payloads: list[str] = []
         self.incomplete = False
 
     def __repr__(self) -> str:
-        """Say how the answer stands, for the message of a failed check."""
+        """Summarise what was received, for the message of a failed check."""
         if self.response is None:
             return '<OpenStream without an answer>'
         headers = self.response.headers
-        last = self.payloads[-1] if self.payloads else self._rest.decode()
+        last = self.payloads[-1] if self.payloads else self._unparsed.decode()
         return (
             f'<OpenStream {headers.get("X-Request-Id")}: '
             f'status {self.response.status}, {len(self.payloads)} events, '
-            f'incomplete={self.incomplete}, rest of {len(self._rest)} bytes, '
+            f'incomplete={self.incomplete}, '
+            f'{len(self._unparsed)} bytes unparsed, '
             f'last {last[-_PAYLOAD_SHOWN:]}>'
         )
 
     def read(self, events: int | None = None) -> None:
-        """Read so many events more, or all there are."""
+        """Read a number of further events, or all up to the end."""
         while events is None or events > 0:
             line = self._read_line()
             if not line:
@@ -121,14 +122,14 @@
                 events = None if events is None else events - 1
 
     def close(self) -> None:
-        """Go away."""
+        """Disconnect, whether or not the answer is complete."""
         if self.response is not None:
             self.response.close()
         self._connection.close()
 
     @property
     def done(self) -> bool:
-        """Whether the answer ended in the ordinary way."""
+        """Whether the last event read is ``[DONE]``."""
         return self.payloads[-1:] == ['[DONE]']
 
     @property
@@ -147,13 +148,13 @@
 
     @property
     def error(self) -> dict[str, object] | None:
-        """The refusal that ended the stream."""
+        """The refusal in the last event, if it has one."""
         last = json.loads(self.payloads[-1])
         return last.get('error')
 
     def _read_line(self) -> bytes:
         """Read one line; ``readline`` would hide an incomplete body."""
-        while b'\n' not in self._rest:
+        while b'\n' not in self._unparsed:
             try:
                 received = self.response.read1()
             except IncompleteRead:
@@ -161,7 +162,7 @@
                 return b''
             if not received:
                 return b''
-            self._rest += received
-        line, _, rest = self._rest.partition(b'\n')
-        self._rest = rest
+            self._unparsed += received
+        line, _, rest = self._unparsed.partition(b'\n')
+        self._unparsed = rest
         return line or b' '
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Configuration parts of several instances in one process, for the tests."""
+"""Configuration components of several instances in one process."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class JitteryPlatform(PlatformClient):
-    """Delays every call and every answer by seeded amounts."""
+    """A client that delays each call and each answer by a seeded amount."""
 
     generator = random.Random(0)
     longest = 0
@@ -35,7 +35,7 @@
 
 @attrs.define
 class Peer:
-    """The configuration parts of one instance."""
+    """The configuration components of one instance."""
 
     name: str
     holder: SnapshotHolder
@@ -61,7 +61,7 @@
 
 @attrs.define
 class Bench:
-    """The stand-in platform and instances before it."""
+    """A stand-in platform, and instances that are its clients."""
 
     standin: PlatformStandIn
     server: TestServer
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases on a clock of the test's own, in a store that may be silent."""
+"""Leases on a simulated clock, in a store that may not answer."""
 
 from collections.abc import Callable
 
@@ -9,44 +9,44 @@
 from kelproad.coordination.leases import Lease
 from kelproad.protocol.store import Row, StoreError, StoreErrorKind, Write
 
-#: Seconds between two looks at a lease.
-LOOK = 0.05
-#: Shares of a lease after which it is renewed; so many renewals may fail.
-RENEWALS = 4
-MAY_FAIL = 2
+#: Seconds between two checks of a lease.
+CHECK_SECONDS = 0.05
+#: Renewals per length of a lease, and how many of them may fail in a row.
+RENEWALS_PER_LEASE = 4
+MAX_FAILED_RENEWALS = 2
 
 
 def _do_nothing() -> None:
-    """Go on."""
+    """Leave the row as it is, by default."""
 
 
 @attrs.define
 class Store:
-    """One row, and a clock that goes on only by waiting.
+    """A store of one row, and the clock, which calls that time out advance.
 
     Attributes
     ----------
     silent_until
-        Time until which calls are neither carried out nor answered.
-    lost
-        Number of calls still to come that are not either.
-    landing
-        Number of writes still to come that take effect, though neither they
-        nor the reading back are answered.
+        Time until which calls are neither executed nor answered.
+    lost_calls
+        Number of coming calls that are neither executed nor answered.
+    unanswered_writes
+        Number of coming writes that take effect, although neither they nor
+        the reads that check them are answered.
     meanwhile
-        Done while a write is under way.
+        Called while a write is under way.
     """
 
     now: float = 100.0
     row: Row | None = None
     silent_until: float = 0
-    lost: int = 0
-    landing: int = 0
+    lost_calls: int = 0
+    unanswered_writes: int = 0
     meanwhile: Callable[[], None] = _do_nothing
 
-    def is_silent(self) -> bool:
-        self.lost -= 1
-        return self.lost >= 0 or self.now < self.silent_until
+    def drops_call(self) -> bool:
+        self.lost_calls -= 1
+        return self.lost_calls >= 0 or self.now < self.silent_until
 
     async def read_row(
         self,
@@ -54,8 +54,8 @@
         _key: str,
         timeout: float,
     ) -> Result[Row | None, StoreError]:
-        if self.is_silent():
-            return self.wait_in_vain(timeout, StoreErrorKind.UNAVAILABLE)
+        if self.drops_call():
+            return self.time_out(timeout, StoreErrorKind.UNAVAILABLE)
         return Success(self.row)
 
     async def transact(
@@ -63,21 +63,21 @@
         writes: list[Write],
         timeout: float,
     ) -> Result[None, StoreError]:
-        if self.is_silent():
-            return self.wait_in_vain(timeout, StoreErrorKind.UNKNOWN)
+        if self.drops_call():
+            return self.time_out(timeout, StoreErrorKind.UNKNOWN)
         version = self.row.version if self.row else 0
         write = writes[0]
         if write.expect != version:
             return _fail(StoreErrorKind.CONFLICT)
         self.row = Row(write.key, version + 1, write.body)
         self.meanwhile()
-        self.landing -= 1
-        if self.landing < 0:
+        self.unanswered_writes -= 1
+        if self.unanswered_writes < 0:
             return Success(None)
-        self.lost = 1
-        return self.wait_in_vain(timeout, StoreErrorKind.UNKNOWN)
+        self.lost_calls = 1
+        return self.time_out(timeout, StoreErrorKind.UNKNOWN)
 
-    def wait_in_vain(
+    def time_out(
         self,
         timeout: float,
         kind: StoreErrorKind,
@@ -88,14 +88,14 @@
     def create_lease(self, holder: str, seconds: float) -> Lease:
         return Lease('orders/a', holder, self, seconds, lambda: self.now)
 
-    async def take(self, holder: str, seconds: float) -> Lease:
+    async def acquire(self, holder: str, seconds: float) -> Lease:
         lease = self.create_lease(holder, seconds)
         assert await lease.acquire_or_renew()
         return lease
 
 
 def _fail(kind: StoreErrorKind) -> Result[None, StoreError]:
-    return Failure(StoreError(kind, 'call', 'store', 'as the test has it'))
+    return Failure(StoreError(kind, 'call', 'store', 'injected by the test'))
 
 
 @pytest.fixture
@@ -105,20 +105,21 @@
 
 @pytest.mark.parametrize('seconds', [3.0, 10.0])
 async def test_one_lost_renewal(store: Store, seconds: float) -> None:
-    """A zone loses its holder when the store leaves one call unanswered.
+    """One unanswered renewal leaves a good part of the lease.
 
-    The holder waits for the answer longer than there is between two renewals.
-    With the answer given up, a short lease has all but run out.
+    A holder that waits for the answer for longer than the interval between
+    renewals would nearly let a short lease expire, and the zone would lose
+    its holder.
     """
-    lease = await store.take('a:1', seconds)
-    store.lost = 1
+    lease = await store.acquire('a:1', seconds)
+    store.lost_calls = 1
     lowest = seconds
-    ends = store.now + 2 * seconds
-    while store.now < ends:
+    end = store.now + 2 * seconds
+    while store.now < end:
         await lease.acquire_or_renew()
         lowest = min(lowest, lease.remaining)
-        store.now += LOOK
-    assert lowest >= seconds / RENEWALS
+        store.now += CHECK_SECONDS
+    assert lowest >= seconds / RENEWALS_PER_LEASE
     assert lease.body.token == 1
 
 
@@ -129,15 +130,15 @@
     seconds: float,
     share_begun: float,
 ) -> None:
-    """The store is silent for as long as two renewals may fail."""
-    share = seconds / RENEWALS
-    lease = await store.take('a:1', seconds)
-    store.now += share_begun * share
-    store.silent_until = store.now + MAY_FAIL * share
-    ends = store.now + 2 * seconds
-    while store.now < ends:
+    """A lease outlasts a silence of the store of two renewals."""
+    interval = seconds / RENEWALS_PER_LEASE
+    lease = await store.acquire('a:1', seconds)
+    store.now += share_begun * interval
+    store.silent_until = store.now + MAX_FAILED_RENEWALS * interval
+    end = store.now + 2 * seconds
+    while store.now < end:
         assert await lease.acquire_or_renew()
-        store.now += LOOK
+        store.now += CHECK_SECONDS
     assert lease.body.token == 1
 
 
@@ -146,13 +147,13 @@
     store: Store,
     lapsed_for: float,
 ) -> None:
-    """A holder stands still for longer than its lease; nobody takes over.
+    """A holder paused for longer than its lease renews it if it is still free.
 
-    Awake, it saw its own row unchanged, waited like any contender for that to
-    last for a lease, and took it with a new token that every engine had to
-    hear of.  Meanwhile the zone got no orders, though it had one holder only.
+    If it waited for the length of a lease like a contender and took a new
+    token, the zone would get no orders meanwhile, and every engine would have
+    to learn the token.
     """
-    lease = await store.take('a:1', 3)
+    lease = await store.acquire('a:1', 3)
     taken_at = lease.acquired_at
     store.now += 3 + lapsed_for
     assert not lease.is_held
@@ -162,8 +163,8 @@
 
 
 async def test_late_renewal_of_a_taken_lease(store: Store) -> None:
-    """Another one took over meanwhile: renewing late must not undo that."""
-    old = await store.take('a:1', 3)
+    """A late renewal must not undo another holder's takeover."""
+    old = await store.acquire('a:1', 3)
     new = store.create_lease('b:1', 3)
     await new.acquire_or_renew()
     store.now += 4
@@ -177,32 +178,33 @@
 
 
 async def test_taking_whose_answer_was_lost(store: Store) -> None:
-    """An engine that ignores tokens is given orders by two holders.
+    """A lease whose acquisition got no answer counts from its renewal.
 
-    A contender's taking lands without an answer.  It meets the row as its own
-    and renews it late; counted from no time at all, its first order would not
-    wait for those of the last holder that are still under way.
+    The contender finds the row as its own and renews it late.  Without a time
+    of acquisition its first order would not wait for orders of the last holder
+    still under way; an engine that ignores tokens would obey both holders.
     """
-    await store.take('b:1', 10)
+    await store.acquire('b:1', 10)
     lease = store.create_lease('a:1', 10)
     await lease.acquire_or_renew()
     store.now += 11
-    store.landing = 1
+    store.unanswered_writes = 1
     assert not await lease.acquire_or_renew()
-    begins = store.now
+    retried_at = store.now
     while not await lease.acquire_or_renew():
-        store.now += LOOK
-    assert lease.acquired_at >= begins
+        store.now += CHECK_SECONDS
+    assert lease.acquired_at >= retried_at
 
 
 async def test_late_renewal_after_a_newer_holder_was_met(
     store: Store,
 ) -> None:
-    """An engine knows a newer token, though the row does not.
+    """A holder that was refused for its token takes a new one.
 
-    Renewed late, the old token would be refused for ever.
+    An engine knows a newer token than the row.  With a late renewal of the
+    old token, all orders would be refused for ever.
     """
-    lease = await store.take('a:1', 3)
+    lease = await store.acquire('a:1', 3)
     lease.give_up()
     await lease.renew()
     assert not await lease.acquire_or_renew()
@@ -212,11 +214,11 @@
 
 
 async def test_newer_holder_met_during_a_renewal(store: Store) -> None:
-    """An order is refused for its token while the lease is being renewed.
+    """A renewal that succeeds must not restore a lease that was given up.
 
-    The renewal's success must not make it the holder again.
+    An order is refused for its token while the renewal is under way.
     """
-    lease = await store.take('a:1', 3)
+    lease = await store.acquire('a:1', 3)
     store.now += 1
     store.meanwhile = lease.give_up
     await lease.renew()
@@ -225,11 +227,11 @@
 
 @pytest.mark.parametrize('given_up', [False, True])
 async def test_late_renewal_of_a_lost_row(store: Store, given_up: bool) -> None:
-    """The row is gone: the lease is taken anew, not renewed for ever.
+    """A lease whose row was deleted is acquired anew, not renewed for ever.
 
     It has the first token again, which must not pass for the one held before.
     """
-    lease = await store.take('a:1', 3)
+    lease = await store.acquire('a:1', 3)
     if given_up:
         lease.give_up()
     store.now += 4
@@ -240,16 +242,16 @@
 
 
 async def test_renewing_late_after_giving_back(store: Store) -> None:
-    """One that stops with its lease lapsed does not take it up again."""
-    lease = await store.take('a:1', 3)
+    """A holder that stops does not re-acquire its lapsed lease."""
+    lease = await store.acquire('a:1', 3)
     store.now += 3
     await lease.release()
     assert not await lease.acquire_or_renew()
 
 
 async def test_renewing_after_giving_back(store: Store) -> None:
-    """A stopping holder's renewal does not take back what it gave."""
-    lease = await store.take('a:1', 3)
+    """A stopping holder's renewal does not re-acquire a released lease."""
+    lease = await store.acquire('a:1', 3)
     await lease.release()
     store.now += 1
     await lease.renew()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -16,7 +16,8 @@
 
 #: Seconds after which a leaving endpoint may get no new work.
 LIMIT = 3.0
-OBSERVED = 2.0
+#: Seconds past the limit during which late work would be seen.
+OBSERVED_SECONDS = 2.0
 TOKENS = 250
 #: Seconds in which every engine of a zone has had work under steady load.
 WORK_SECONDS = 15.0
@@ -35,10 +36,10 @@
 
 
 class SteadyLoad:
-    """Short completions, one after another, at some instances."""
+    """Short completions from two threads for each caller address."""
 
     def __init__(self, callers: list[str]) -> None:
-        """Send to the callers' addresses."""
+        """Prepare the threads without starting them."""
         self.statuses: list[int] = []
         self._stopped = threading.Event()
         self._threads = [
@@ -64,15 +65,17 @@
             self.statuses.append(complete(caller, max_tokens=1).status)
 
 
-def list_times(site: Site, name: str) -> list[float]:
+def list_work_times(site: Site, name: str) -> list[float]:
     return site.control(site.addresses[name], 'GET', '/control/times')
 
 
-def check_left(site: Site, names: list[str], told: dict[str, float]) -> None:
-    """Check that engines had work before they were told, and none later."""
+def check_no_late_work(
+    site: Site, names: list[str], left_at: dict[str, float]
+) -> None:
+    """Check that engines had work, but none later than the limit."""
     for name in names:
-        times = list_times(site, name)
-        after = [at - told[name] for at in times if at > told[name]]
+        times = list_work_times(site, name)
+        after = [at - left_at[name] for at in times if at > left_at[name]]
         assert len(times) > len(after), f'{name} had no work at all'
         late = [at for at in after if at > LIMIT]
         assert not late, f'{name} had new work {late}'
@@ -80,9 +83,9 @@
 
 def wait_for_work(site: Site, names: list[str]) -> None:
     """Wait until each engine has had work."""
-    limit = time.monotonic() + WORK_SECONDS
-    while not all(list_times(site, name) for name in names):
-        assert time.monotonic() < limit, 'no work for an engine'
+    give_up_at = time.monotonic() + WORK_SECONDS
+    while not all(list_work_times(site, name) for name in names):
+        assert time.monotonic() < give_up_at, 'no work for an engine'
         time.sleep(0.1)
 
 
@@ -94,14 +97,14 @@
     }
 
 
-def test_leaving_by_list_word_and_configuration(site: Site) -> None:
-    """Three engines leave at once, each by another way, under steady load.
+def test_leaving_by_list_report_and_configuration(site: Site) -> None:
+    """Three engines leave at once under load, each announced another way.
 
-    The platform lists one, one says so itself, one is marked in a file.  None
-    of them gets work three seconds later, and what runs there ends whole.
+    The platform lists one, one reports it itself, one is marked in a file.
+    None of them gets work three seconds later, and their streams complete.
     """
-    listed, saying, marked = (f'report-{zone}-1' for zone in site.zones)
-    names = [listed, saying, marked]
+    listed, reporting, marked = (f'report-{zone}-1' for zone in site.zones)
+    names = [listed, reporting, marked]
     streams = []
     while find_busy(site, names) != set(names):
         streams += [
@@ -109,17 +112,17 @@
             for caller in site.callers
         ]
     assert {stream.response.status for stream in streams} == {200}
-    told = {}
+    left_at = {}
     with SteadyLoad(site.callers) as load:
         time.sleep(1)
-        told[listed] = time.time()
+        left_at[listed] = time.time()
         site.control(site.platform_address, 'PUT', f'/control/leaving/{listed}')
-        told[saying] = time.time()
-        site.control(site.addresses[saying], 'PUT', '/control/leaving')
+        left_at[reporting] = time.time()
+        site.control(site.addresses[reporting], 'PUT', '/control/leaving')
         mark_leaving(site, marked)
-        told[marked] = time.time()
-        time.sleep(LIMIT + OBSERVED)
-    check_left(site, names, told)
+        left_at[marked] = time.time()
+        time.sleep(LIMIT + OBSERVED_SECONDS)
+    check_no_late_work(site, names, left_at)
     assert set(load.statuses) == {200}
     for stream in streams:
         stream.read()
@@ -128,31 +131,31 @@
 
 
 def test_leaving_in_zones_that_are_cut_off(site: Site) -> None:
-    """One zone loses the platform, another one loses everything.
+    """One zone is cut off from the platform, another one from everything.
 
-    The platform takes an engine of the first away: the third zone hears it
-    and passes it on.  An engine of the second says itself that it leaves; it
-    is the last one there, so callers may hear that there is none.
+    The platform lists an engine of the first zone as leaving: the third zone
+    learns it and forwards it.  An engine of the second reports that it leaves;
+    it is the last one there, so calls may be refused for want of an engine.
     """
-    listed, saying = (f'report-{zone}-2' for zone in site.zones[:2])
+    listed, reporting = (f'report-{zone}-2' for zone in site.zones[:2])
     site.network.cut(
         *((zone, PLATFORM) for zone in site.zones[:2]),
         *((site.zones[1], zone) for zone in (site.zones[0], site.zones[2])),
-        # Bytes held back would reach an engine when the cut heals, whatever
-        # their sender has learnt since.
+        # Bytes held back would reach an engine when the cut heals, even if
+        # their sender has learnt meanwhile that it leaves.
         mode='break',
     )
     with SteadyLoad(site.callers[:2]) as load:
-        # On a busy machine a second brings too few calls for all engines.
-        wait_for_work(site, [listed, saying])
-        told = {name: time.time() for name in (listed, saying)}
+        # On a busy machine one second of load does not reach all engines.
+        wait_for_work(site, [listed, reporting])
+        left_at = {name: time.time() for name in (listed, reporting)}
         site.control(site.platform_address, 'PUT', f'/control/leaving/{listed}')
-        site.control(site.addresses[saying], 'PUT', '/control/leaving')
-        time.sleep(LIMIT + OBSERVED)
-    # The second zone could not hear of the first one's engine, and would try
-    # it as soon as it is reached again, until it hears.
+        site.control(site.addresses[reporting], 'PUT', '/control/leaving')
+        time.sleep(LIMIT + OBSERVED_SECONDS)
+    # The second zone could not learn that the first one's engine leaves, and
+    # may try it as soon as it can reach it, until it does.
     site.network.heal()
-    check_left(site, [listed, saying], told)
+    check_no_late_work(site, [listed, reporting], left_at)
     assert 200 in load.statuses
 
 
