--- a/tests/engines.py
+++ b/tests/engines.py
@@ -49,22 +49,22 @@
 
 def wait_until_free(site: Site, seconds: float) -> dict[str, object]:
     """Wait until no engine holds anything; return those that do."""
-    give_up_at = time.monotonic() + seconds
+    limit = time.monotonic() + seconds
     while True:
-        busy = {
+        left = {
             name: held
             for name, held in list_held(site).items()
             if held['held'] or held['used_tokens']
         }
-        if not busy or time.monotonic() > give_up_at:
-            return busy
+        if not left or time.monotonic() > limit:
+            return left
         time.sleep(_POLL_SECONDS)
 
 
 def wait_until_confirmed(site: Site, seconds: float) -> list[object]:
     """Wait until every cancel is confirmed; return the open ones."""
-    give_up_at = time.monotonic() + seconds
-    while list_cancels(site) and time.monotonic() < give_up_at:
+    limit = time.monotonic() + seconds
+    while list_cancels(site) and time.monotonic() < limit:
         time.sleep(_POLL_SECONDS)
     return list_cancels(site)
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -131,10 +131,10 @@
     share_begun: float,
 ) -> None:
     """A lease outlasts a silence of the store of two renewals."""
-    interval = seconds / RENEWALS_PER_LEASE
+    share = seconds / RENEWALS_PER_LEASE
     lease = await store.acquire('a:1', seconds)
-    store.now += share_begun * interval
-    store.silent_until = store.now + MAX_FAILED_RENEWALS * interval
+    store.now += share_begun * share
+    store.silent_until = store.now + MAX_FAILED_RENEWALS * share
     end = store.now + 2 * seconds
     while store.now < end:
         assert await lease.acquire_or_renew()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -83,9 +83,9 @@
 
 def wait_for_work(site: Site, names: list[str]) -> None:
     """Wait until each engine has had work."""
-    give_up_at = time.monotonic() + WORK_SECONDS
+    limit = time.monotonic() + WORK_SECONDS
     while not all(list_work_times(site, name) for name in names):
-        assert time.monotonic() < give_up_at, 'no work for an engine'
+        assert time.monotonic() < limit, 'no work for an engine'
         time.sleep(0.1)
 
 
