--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces and fair shares, called as functions over state."""
+"""Limits of workspaces and fair shares between them."""
 
 import json
 from collections.abc import Iterator
@@ -21,89 +21,89 @@
 
 @attrs.define
 class Clock:
-    """A clock that tests move."""
+    """A clock that stands still until a test advances it."""
 
     now: float = 1000.0
 
     def __call__(self) -> float:
-        """Tell the time."""
+        """Return the current time in seconds."""
         return self.now
 
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Iterator[Clock]:
-    """Put a clock in place of the machine's."""
+    """Replace the monotonic clock that the limits read."""
     made = Clock()
     monkeypatch.setattr(limits, 'monotonic', made)
     return made
 
 
 class Instances:
-    """Instances that gossip their demand, as the whole site."""
+    """All instances of a site, which gossip their demand."""
 
     def __init__(self, count: int, clock: Clock, limited: Limits) -> None:
-        """Create them; each knows all others."""
+        """Create them with empty member tables."""
         self.fleet = Fleet()
         self.clock = clock
         self.workspace = Workspace('w', [], [], limits=limited)
         self.tables = [MemberTable() for _ in range(count)]
-        self.each = [
+        self.limiters = [
             WorkspaceLimits(table, self.fleet.table, Counters())
             for table in self.tables
         ]
         self.version = 0
 
-    def gossip(self, heard: set[int] | None = None) -> None:
-        """Let every instance hear those of a set, or all."""
+    def gossip(self, connected: set[int] | None = None) -> None:
+        """Exchange the demand of the connected instances, or of all."""
         self.version += 1
-        for origin, told in enumerate(self.each):
+        for origin, limiter in enumerate(self.limiters):
             member = Member(
                 f'i{origin}',
                 'a',
                 '',
                 1,
                 self.version,
-                demand=told.describe_demand(),
+                demand=limiter.describe_demand(),
             )
             for target, table in enumerate(self.tables):
-                together = heard is None or {origin, target} <= heard
+                together = connected is None or {origin, target} <= connected
                 if target != origin and together:
                     table.merge(member, self.clock.now)
 
-    def ask(self, index: int, tokens: int = SHORT) -> bool:
-        """Ask one instance to let a request through."""
+    def is_admitted(self, index: int, tokens: int = SHORT) -> bool:
+        """Return whether an instance admits a request."""
         return not isinstance(self.refuse(index, tokens), Failure)
 
     def refuse(self, index: int, tokens: int = SHORT) -> object:
-        """Return what an instance decides on a request."""
-        return self.each[index].admit(self.request(tokens))
+        """Return an instance's decision, a failure if it refuses."""
+        return self.limiters[index].admit(self.request(tokens))
 
     def request(self, tokens: int, workspace: str = 'w') -> Request:
-        """Make a request of a workspace."""
-        asked = self.fleet.request(tokens)
+        """Create a request whose deadline is in 20 s."""
+        template = self.fleet.request(tokens)
         changed = attrs.evolve(self.workspace, name=workspace)
         deadline = self.clock.now + 20
-        return attrs.evolve(asked, workspace=changed, deadline=deadline)
+        return attrs.evolve(template, workspace=changed, deadline=deadline)
 
     def run(
         self,
         seconds: float,
         rates: list[int],
-        heard: set[int] | None = None,
+        connected: set[int] | None = None,
     ) -> int:
-        """Ask for some seconds at rates by instance; count those let through.
+        """Send requests at a rate per instance; count those admitted.
 
-        Gossip goes once in half a second, among those heard.
+        Connected instances gossip every half second.
         """
-        through = 0
+        admitted = 0
         for step in range(round(seconds * 20)):
             self.clock.now += 0.05
             if step % 10 == 0:
-                self.gossip(heard)
+                self.gossip(connected)
             for index, rate in enumerate(rates):
-                asked = [self.ask(index) for _ in range(rate // 20)]
-                through += asked.count(True)
-        return through
+                decisions = [self.is_admitted(index) for _ in range(rate // 20)]
+                admitted += decisions.count(True)
+        return admitted
 
 
 @pytest.mark.parametrize(
@@ -116,113 +116,115 @@
 ) -> None:
     site = Instances(4, clock, Limits(requests_per_second=100))
     site.run(5, rates)
-    through = site.run(10, rates)
-    # A part of the limit waits at instances that get nothing.
-    assert 780 <= through <= 1100
+    admitted = site.run(10, rates)
+    # Instances that get no requests keep a part of the limit.
+    assert 780 <= admitted <= 1100
 
 
 def test_shifting_demand_overshoots_by_a_bounded_amount(clock: Clock) -> None:
-    """A balancer moves all requests to another instance at once.
+    """A load balancer moves all requests to another instance at once.
 
-    Both then think that the demand is theirs for the time gossip takes.
-    Cause: shares follow demand that is told late.  The overshoot stays under
-    one second's limit for each move.
+    Shares follow the demand that gossip reports, so until it arrives both
+    instances count the whole demand as theirs.  The overshoot stays under the
+    limit of one second for each move.
     """
     site = Instances(2, clock, Limits(requests_per_second=100))
     site.run(5, [400, 0])
-    through = sum(site.run(2.5, rates) for rates in ([0, 400], [400, 0]) * 2)
-    assert through <= 10 * 100 + 4 * 100
+    admitted = sum(site.run(2.5, rates) for rates in ([0, 400], [400, 0]) * 2)
+    assert admitted <= 10 * 100 + 4 * 100
 
 
 def test_token_rate_delays_after_a_large_prompt(clock: Clock) -> None:
     site = Instances(1, clock, Limits(tokens_per_second=10_000))
-    assert site.ask(0, 100_000)
+    assert site.is_admitted(0, 100_000)
     refused = site.refuse(0, 100).failure()
     assert 8 <= refused.retry_after <= 10
     clock.now += refused.retry_after + 0.01
-    assert site.ask(0, 100)
+    assert site.is_admitted(0, 100)
 
 
 def test_tokens_in_flight_are_bounded_and_given_back(clock: Clock) -> None:
     site = Instances(1, clock, Limits(tokens_in_flight=10_000))
     request = site.request(6_000)
-    site.each[0].admit(request)
-    site.each[0].begin(request)
-    assert not site.ask(0, 6_000)
-    site.each[0].end(request)
-    assert site.ask(0, 6_000)
+    site.limiters[0].admit(request)
+    site.limiters[0].begin(request)
+    assert not site.is_admitted(0, 6_000)
+    site.limiters[0].end(request)
+    assert site.is_admitted(0, 6_000)
 
 
 def test_share_stands_when_cut_off_and_moves_when_others_die(
     clock: Clock,
 ) -> None:
-    """A zone that is cut off lets a workspace use its whole limit again.
+    """An isolated instance must not give a workspace its whole limit again.
 
-    Three of four instances go silent.  The one cut off must not take their
-    share, for they go on serving; the three take over that of the one, which
+    Seen from it, the three others go silent.  It must not take over their
+    shares, for they go on serving; the three take over that of the one, which
     may be dead.
     """
     site = Instances(4, clock, Limits(requests_per_second=100))
     rates = [120, 120, 120, 120]
     site.run(5, rates)
     site.run(SUSPECT_AFTER + 2, rates, {0, 1, 2})
-    parts = [each._shares['w'] for each in site.each]
+    parts = [limiter._shares['w'] for limiter in site.limiters]
     assert parts[3] == pytest.approx(0.25, abs=0.03)
     assert sum(parts[:3]) == pytest.approx(1, abs=0.03)
 
 
 def test_busy_workspace_does_not_starve_another(clock: Clock) -> None:
-    """Buyers wait behind another workspace's flood.
+    """A flood of one workspace must not hold up another's requests.
 
     One workspace has ten times the tokens in flight of the other, and the
-    queue is long.  The flood is refused with when to come back, the other
-    goes through.
+    queue is long.  The flood is refused with a time to retry after, the other
+    workspace's request is admitted.
     """
     site = Instances(1, clock, Limits())
     for name, tokens in (('flood', 9_000), ('small', 900)):
         request = site.request(tokens, name)
-        site.each[0].begin(request)
+        site.limiters[0].begin(request)
     flood, small = (site.request(SHORT, name) for name in ('flood', 'small'))
-    assert not isinstance(site.each[0].admit(flood), Failure)
+    assert not isinstance(site.limiters[0].admit(flood), Failure)
     site.fleet.table.record_contention(SHORT, 3, 0.2, clock.now)
-    refused = site.each[0].admit(flood).failure()
+    refused = site.limiters[0].admit(flood).failure()
     assert 2 <= refused.retry_after <= 3
-    assert not isinstance(site.each[0].admit(small), Failure)
+    assert not isinstance(site.limiters[0].admit(small), Failure)
     clock.now += refused.retry_after
-    assert not isinstance(site.each[0].admit(flood), Failure)
+    assert not isinstance(site.limiters[0].admit(flood), Failure)
 
 
-def test_gossip_tells_only_the_busiest_workspaces(clock: Clock) -> None:
+def test_gossip_reports_only_the_busiest_workspaces(clock: Clock) -> None:
     site = Instances(1, clock, Limits())
     for number in range(200):
-        site.each[0].admit(site.request(1_000 + number, f'w{number}'))
-    told = site.each[0].describe_demand()
-    assert len(told) == limits.MAX_ADVERTISED_WORKSPACES
-    assert told['w199'].tokens > Demand().tokens
+        site.limiters[0].admit(site.request(1_000 + number, f'w{number}'))
+    demand = site.limiters[0].describe_demand()
+    assert len(demand) == limits.MAX_ADVERTISED_WORKSPACES
+    assert demand['w199'].tokens > Demand().tokens
 
 
 def test_limited_workspace_is_told_when_to_come_back(roadgrip: Site) -> None:
-    answers = [_ask_as_trials(at) for _ in range(40) for at in roadgrip.callers]
+    answers = [
+        _complete_as_trials(at) for _ in range(40) for at in roadgrip.callers
+    ]
     refused = [answer for answer in answers if answer.status == 429]
     assert refused
     assert len(refused) < len(answers)
     assert all(answer.refusal()['ran'] == 'no' for answer in refused)
     assert all(answer.refusal()['retry_after'] > 0 for answer in refused)
     assert complete(roadgrip.callers[0]).status == 200
-    told = roadgrip.control(
+    explained = roadgrip.control(
         roadgrip.instances[-1].operator,
         'GET',
-        f'/operator/explain/{_last_refused(answers[2::3])}',
+        f'/operator/explain/{_find_last_refused_id(answers[2::3])}',
     )
-    assert 'requests per second' in json.dumps(told)
+    assert 'requests per second' in json.dumps(explained)
 
 
-def _ask_as_trials(address: str) -> Answer:
+def _complete_as_trials(address: str) -> Answer:
     body = {'model': 'roadgrip-crew', 'prompt': 'x', 'max_tokens': 1}
     return call(address, '/v1/completions', body, key='example-key-trials')
 
 
-def _last_refused(answers: list[Answer]) -> str:
+def _find_last_refused_id(answers: list[Answer]) -> str:
     refused = [answer for answer in answers if answer.status == 429]
     return refused[-1].headers['X-Request-Id']
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: structured, with instance and request on each."""
+"""Log lines name the instance and the request in each format."""
 
 import json
 import logging
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Records of members, who watches what, and messages from anybody."""
+"""Member records, choice of watchers, and untrusted peer messages."""
 
 import random
 
@@ -30,10 +30,10 @@
 
 @st.composite
 def _draw_record(draw: st.DrawFn) -> Member:
-    """Draw a record as an instance could have sent it.
+    """Generate a record as an instance could have sent it.
 
-    Two records with the same order are the same record, with or without its
-    load, so everything else follows from the order.
+    Two records of the same order must be the same, with or without the load,
+    so all other fields are derived from the order.
     """
     epoch, incarnation, version = draw(_small), draw(_small), draw(_small) + 1
     full = Member(
@@ -55,15 +55,15 @@
     records: list[Member],
     shuffler: random.Random,
 ) -> None:
-    """Messages are doubled, lost track of and overtaken.
+    """Messages arrive in different orders, and some of them twice.
 
-    Two instances that got the same records in any order, and some of them
-    twice, must hold the same: they choose watchers by it.
+    Two instances that received the same records must hold the same state:
+    they choose watchers by it.
     """
-    again = records + records[::2]
-    shuffler.shuffle(again)
+    reordered = records + records[::2]
+    shuffler.shuffle(reordered)
     tables = (MemberTable(), MemberTable())
-    for table, arriving in zip(tables, (records, again), strict=True):
+    for table, arriving in zip(tables, (records, reordered), strict=True):
         for record in arriving:
             table.merge(record, 0)
     one, other = (
@@ -74,7 +74,7 @@
 
 @given(st.binary(max_size=200))
 def test_bytes_without_the_tag_are_refused(received: bytes) -> None:
-    """Anybody may connect to the peer port and send anything."""
+    """The peer port accepts connections from anybody."""
     assert isinstance(decode_message(received, KEY), Failure)
 
 
@@ -114,36 +114,36 @@
     return table
 
 
-def _list_readers(
+def _map_pollers(
     names: set[str],
     running: set[str],
     table: EndpointTable,
     now: float,
 ) -> dict[str, set[str]]:
-    """Map each engine to the running instances that read it now."""
-    readers: dict[str, set[str]] = {name: set() for name in table.all()}
+    """Map each engine to the running instances that poll it now."""
+    pollers: dict[str, set[str]] = {name: set() for name in table.all()}
     for name in running:
         members = MemberTable('zone')
         for other in names - {name}:
             members.merge(Member(other, 'zone', '127.0.0.1:1', 1), now)
         identity = Identity(name, 'zone', 1)
         for endpoint in list_due(identity, table, members, now):
-            readers[endpoint.name].add(name)
-    return readers
+            pollers[endpoint.name].add(name)
+    return pollers
 
 
-def test_no_engine_goes_unread_when_a_watcher_dies() -> None:
+def test_no_engine_goes_unpolled_when_a_watcher_dies() -> None:
     """A watcher is killed; for four seconds the others count it as live.
 
-    Its engines must be read by their second watcher as soon as its reports
-    stop, and by one watcher only while they come.
+    Its engines must be polled by their second watcher as soon as its reports
+    stop, and by one watcher only while they arrive.
     """
     names = {f'instance-{number}' for number in range(5)}
     table = _declare_engines(40)
     for endpoint in table.all().values():
         endpoint.accept_report(EndpointReport(endpoint.name, 'life'), 10)
-    quiet = _list_readers(names, names, table, 10.5)
+    quiet = _map_pollers(names, names, table, 10.5)
     assert all(len(found) == 1 for found in quiet.values())
     left = names - {'instance-0'}
-    silent = _list_readers(names, left, table, 12)
-    assert all(silent.values())
+    unreported = _map_pollers(names, left, table, 12)
+    assert all(unreported.values())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership on a simulated clock and a lossy network, from seeds."""
+"""Membership on a simulated clock and a lossy network, with fixed seeds."""
 
 import pytest
 
@@ -7,16 +7,16 @@
 
 LOSSY = Conditions(loss=0.05, doubling=0.05, delay=0.005, jitter=0.3)
 _JOIN_SECONDS = 8
-#: Seconds that the last heartbeats of a dead instance are on their way.
+#: Seconds for which heartbeats of a dead instance may be forwarded.
 _SPREAD_SECONDS = 5
 
 
 @pytest.mark.parametrize('size', [9, 24])
 async def test_loss_and_jitter_remove_nobody(size: int) -> None:
-    """A twentieth of the messages is lost, others are doubled or overtaken.
+    """5% of the messages are lost, others are duplicated or reordered.
 
-    No instance may take a running one for dead: its share of the engines
-    would be watched twice, and limits shared anew.
+    No instance may count a running one as dead: its share of the engines
+    would be watched twice, and limits would be shared anew.
     """
     site = MemberSite.from_seed(7, size, conditions=LOSSY)
     await site.run(_JOIN_SECONDS)
@@ -28,33 +28,35 @@
 
 
 async def test_a_third_killed_at_once_is_detected() -> None:
-    """A switch fails and 30% of the instances are gone without a word.
+    """A third of the instances dies at once, without a departure message.
 
-    The others must notice within a bounded time, and not lose each other.
+    The others must remove them within a bounded time, and not each other.
     """
     site = MemberSite.from_seed(11, 24, conditions=LOSSY)
     await site.run(_JOIN_SECONDS)
     for member in site.running()[::3]:
         member.running = False
     await site.run(REMOVE_AFTER + _SPREAD_SECONDS)
-    zone_mates = [
+    ghosts = [
         name
         for member in site.running()
         for name in site.see(member) - site.running_names()
         if name.startswith(member.zone)
     ]
-    assert not zone_mates
-    stretch = max(item.members.cross_zone_interval for item in site.running())
-    await site.run(REMOVE_AFTER * (stretch - 1))
+    assert not ghosts
+    interval_factor = max(
+        item.members.cross_zone_interval for item in site.running()
+    )
+    await site.run(REMOVE_AFTER * (interval_factor - 1))
     assert site.count_ghosts() == 0
     assert site.count_missing() == 0
 
 
 async def test_zones_meet_again_after_a_cut() -> None:
-    """A zone is cut off for two minutes, longer than anyone counts as live.
+    """A zone is cut off for two minutes, longer than silent members are kept.
 
-    Both sides go on by themselves; healed, they must find each other though
-    neither has the other among its live members and the platform is silent.
+    After the cut both sides must find each other, though neither has the other
+    among its live members and the platform does not answer.
     """
     site = MemberSite.from_seed(3, 9)
     await site.run(_JOIN_SECONDS)
@@ -69,10 +71,10 @@
 
 
 async def test_restart_after_the_clock_was_set_back() -> None:
-    """An instance is restarted, and its clock is an hour behind.
+    """An instance is restarted with its clock an hour behind.
 
-    Its incarnation is lower than that of its life before, so that the others
-    refuse its records as old ones and never see it, until they forget it.
+    Its incarnation is lower than the last one, so the others would reject its
+    records as old, and not see it until they forget the last incarnation.
     """
     site = MemberSite.from_seed(5, 9)
     await site.run(_JOIN_SECONDS)
@@ -85,10 +87,10 @@
 
 
 async def test_woken_member_keeps_the_others() -> None:
-    """An instance is frozen for half a minute and woken.
+    """An instance is frozen for half a minute and resumed.
 
-    It heard nobody meanwhile; if it took that for their silence it would
-    count all of them as dead and watch every engine alone.
+    It received nothing meanwhile.  If it took that for silence of the others,
+    it would count all of them as dead and watch every engine alone.
     """
     site = MemberSite.from_seed(13, 9)
     await site.run(_JOIN_SECONDS)
@@ -105,10 +107,10 @@
 
 
 async def test_suspected_member_refutes() -> None:
-    """What an instance sends is lost for five seconds.
+    """All messages of an instance are lost for five seconds.
 
-    The others suspect it and tell it so; its answer to that alone, before
-    any further round, must keep it from being removed in its zone.
+    The others suspect it and report that to it; its refutation alone, before
+    any further round of gossip, must keep it from being removed in its zone.
     """
     site = MemberSite.from_seed(17, 9)
     await site.run(_JOIN_SECONDS)
@@ -119,15 +121,17 @@
     mute.muted = False
     mute.silent = True
     await site.run(1.2)
-    mates = [item for item in site.running() if item.zone == mute.zone]
-    assert all(mute.name in site.see(item) for item in mates if item != mute)
+    zone_members = [item for item in site.running() if item.zone == mute.zone]
+    assert all(
+        mute.name in site.see(item) for item in zone_members if item != mute
+    )
     assert site.count_suspected(mute) == 0
 
 
-async def test_leaving_is_told_at_once() -> None:
-    """An instance ends on purpose.
+async def test_leaving_is_reported_at_once() -> None:
+    """An instance stops and sends a departure message.
 
-    The others must not wait for its silence to give away its engines.
+    The others must take over its engines without waiting for its silence.
     """
     site = MemberSite.from_seed(19, 9)
     await site.run(_JOIN_SECONDS)
@@ -140,7 +144,7 @@
 
 @pytest.mark.parametrize('size', [9, 24, 48])
 async def test_bytes_stay_within_the_allowance(size: int) -> None:
-    """More instances must not mean more bytes for each."""
+    """The traffic per instance must not grow with their number."""
     site = MemberSite.from_seed(23, size)
     await site.run(_JOIN_SECONDS)
     before = sum(member.sent_bytes for member in site.running())
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off goes on serving what it can."""
+"""An isolated zone serves what needs no claim."""
 
 import pathlib
 import time
@@ -9,10 +9,10 @@
 
 
 def test_isolated_zone_serves_and_heals(tmp_path: pathlib.Path) -> None:
-    """A zone loses the platform and the other zones.
+    """A zone is cut off from the platform and the other zones.
 
-    Callers in it still get completions from its own engines; what needs a
-    claim is refused at once as not run.  When the network heals, everything
+    Its callers still get completions from local engines; calls that need a
+    claim are refused at once as not run.  When the network heals, everything
     works again without an operator.
     """
     plan = SitePlan(example=ROADGRIP, endpoints_per_group=3, network=True)
--- a/tests/test_observations.py
+++ b/tests/test_observations.py
@@ -1,4 +1,4 @@
-"""What is remembered of engines, and for how long."""
+"""Observations of engines, and when they expire."""
 
 from kelproad.state.observations import EngineObservations
 
@@ -6,7 +6,7 @@
 
 
 def test_engines_that_are_gone_are_forgotten() -> None:
-    """Each start of an engine has a new name; memory grew with every one."""
+    """Engines have a new name at each start; memory must not grow with them."""
     observations = EngineObservations()
     observations.record_slowdown('i-1', 4, NOW)
     observations.record_silence('i-1', NOW)
