--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -214,7 +214,7 @@
     explained = roadgrip.control(
         roadgrip.instances[-1].operator,
         'GET',
-        f'/operator/explain/{_find_last_refused_id(answers[2::3])}',
+        f'/operator/explain/{_last_refused(answers[2::3])}',
     )
     assert 'requests per second' in json.dumps(explained)
 
@@ -224,7 +224,7 @@
     return call(address, '/v1/completions', body, key='example-key-trials')
 
 
-def _find_last_refused_id(answers: list[Answer]) -> str:
+def _last_refused(answers: list[Answer]) -> str:
     refused = [answer for answer in answers if answer.status == 429]
     return refused[-1].headers['X-Request-Id']
 
--- a/tests/test_orders_site.py
+++ b/tests/test_orders_site.py
@@ -1,4 +1,4 @@
-"""Orders by real instances, with their holder frozen."""
+"""Orders by real instances while the holder of the lease is frozen."""
 
 import hashlib
 import pathlib
@@ -13,8 +13,8 @@
 KEY = 'key-of-the-rollout-test'
 MODEL = 'm'
 LEASE = 3.0
-#: Seconds by which the successor stands still for longer than its lease.
-OVERDUE = 0.2
+#: Seconds for which the successor is frozen beyond the end of its lease.
+OVERDUE_SECONDS = 0.2
 
 
 def write_example(folder: pathlib.Path) -> pathlib.Path:
@@ -41,7 +41,7 @@
     return folder
 
 
-def want(site: Site, instance: InstanceProcess, version: str) -> None:
+def apply_version(site: Site, instance: InstanceProcess, version: str) -> None:
     content = yaml.safe_load(site.files[2].read_text())
     content['services'][0]['version'] = version
     files = site.control(instance.operator, 'GET', '/operator/files')['files']
@@ -67,23 +67,23 @@
     ]
 
 
-def wait_for(holds: Callable[[], bool], seconds: float = 40) -> None:
+def wait_for(condition: Callable[[], bool], seconds: float = 40) -> None:
     limit = time.monotonic() + seconds
-    while not holds():
+    while not condition():
         assert time.monotonic() < limit
         time.sleep(0.1)
 
 
 def test_frozen_holder(tmp_path: pathlib.Path) -> None:
-    """A holder is frozen in the middle of a rollout, and woken later.
+    """A holder is frozen in the middle of a rollout, and resumed later.
 
-    Meanwhile the other instance takes over, and the operator wants another
-    version.  All the time requests are answered.  The engines, which ignore
-    the token, end with the latest version and stay there.
+    Meanwhile the other instance takes over, and the operator applies another
+    version.  Requests are answered all the time.  The engines, which ignore
+    the token, end with the latest version and keep it.
 
-    A process that stands still for longer than its lease has none when it
-    wakes, until its next pass.  The successor does so once, as it may beside
-    load at any time: nobody took over, so it goes on with the same token.
+    The successor, too, is frozen once for longer than its lease, as may happen
+    on a loaded machine.  It has no lease until its next pass; as no other
+    instance took over, it goes on with the same token.
     """
     plan = SitePlan(
         example=write_example(tmp_path / 'example'),
@@ -118,10 +118,10 @@
     old = find_holders()[0]
     new = next(item for item in site.instances if item is not old)
     first_token = read_orders(site, old)['token']
-    want(site, old, '1')
+    apply_version(site, old, '1')
     wait_for(lambda: '1' in str(list_versions(site)))
     old.process.freeze()
-    want(site, new, '2')
+    apply_version(site, new, '2')
 
     def is_done() -> bool:
         serve(new)
@@ -130,7 +130,7 @@
     wait_for(is_done)
     wait_for(is_held_by_successor, LEASE)
     new.process.freeze()
-    time.sleep(LEASE + OVERDUE)
+    time.sleep(LEASE + OVERDUE_SECONDS)
     new.process.wake()
     wait_for(is_held_by_successor, LEASE)
     old.process.wake()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, instances, engines, services, operators."""
+"""End-to-end calls: callers, instances, engines, services, operators."""
 
 import json
 
@@ -141,12 +141,12 @@
     instance = roadgrip.instances[0]
     answer = complete(instance.caller)
     request_id = answer.headers['X-Request-Id']
-    told = roadgrip.control(
+    explained = roadgrip.control(
         instance.operator,
         'GET',
         f'/operator/explain/{request_id}',
     )
-    assert [step['event'] for step in told['steps']] == ['routed', 'ended']
+    assert [step['event'] for step in explained['steps']] == ['routed', 'ended']
     dump = roadgrip.control(instance.operator, 'GET', '/operator/dump')
     assert dump['revision'] == 4
     assert not dump['invariant_violations']
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def service() -> AsyncIterator[TestServer]:
-    """Run a service inside the test."""
+    """Run a stand-in service in this process."""
     server = TestServer(ServiceStandIn().create_application())
     await server.start_server()
     yield server
@@ -28,13 +28,13 @@
 
 @pytest.fixture
 async def client() -> AsyncIterator[PlainClient]:
-    """Give a client as instances use it."""
+    """Create a client with the kind of session that instances use."""
     session = create_single_use_session(trace_configs=[trace_connections()])
     yield PlainClient(session)
     await session.close()
 
 
-def put_entry(seconds: float = 5.0, **headers: str) -> PlainCall:
+def build_put_call(seconds: float = 5.0, **headers: str) -> PlainCall:
     """Build the call that books an entry by PUT."""
     return PlainCall(
         method='PUT',
@@ -63,9 +63,9 @@
     client: PlainClient,
     lost: int,
 ) -> None:
-    """A service books a PUT and breaks the connection without an answer.
+    """A service executes a PUT and closes the connection without an answer.
 
-    The HTTP library sends such calls again by itself, because PUT counts as
+    The HTTP library retries such calls by itself, because PUT counts as
     idempotent in general; a stock entry is not, and would be booked twice.
     """
     faults = PlainCall(
@@ -76,7 +76,7 @@
         monotonic() + 5,
     )
     await client.call(base_url(service), faults)
-    refused = await client.call(base_url(service), put_entry())
+    refused = await client.call(base_url(service), build_put_call())
     assert refused.failure().ran is Ran.UNKNOWN
     assert await count_effects(service, client) == 1
 
@@ -85,13 +85,13 @@
     service: TestServer,
     client: PlainClient,
 ) -> None:
-    refused = await client.call(base_url(service), put_entry(-1.0))
+    refused = await client.call(base_url(service), build_put_call(-1.0))
     assert refused.failure().ran is Ran.NO
     assert await count_effects(service, client) == 0
 
 
 async def test_refused_connection_is_not_run(client: PlainClient) -> None:
-    refused = await client.call('http://127.0.0.1:9', put_entry())
+    refused = await client.call('http://127.0.0.1:9', build_put_call())
     assert refused.failure().ran is Ran.NO
 
 
@@ -101,8 +101,9 @@
 ) -> None:
     """An endpoint's zone is cut off, so that connecting gets no answer.
 
-    The bound on connecting passes long before the deadline.  Told as a missed
-    deadline, the call was given up although another endpoint could serve it.
+    The connect timeout passes long before the deadline.  If it were reported
+    as a missed deadline, the call would be given up although another endpoint
+    could serve it.
     """
     monkeypatch.setattr('kelproad.protocol.plain.CONNECT_TIMEOUT', 0.2)
     with contextlib.ExitStack() as sockets:
@@ -115,6 +116,6 @@
             waiting.setblocking(False)
             waiting.connect_ex(address)
         url = f'http://127.0.0.1:{address[1]}'
-        refused = await client.call(url, put_entry())
+        refused = await client.call(url, build_put_call())
     assert refused.failure().ran is Ran.NO
     assert refused.failure().code is RefusalCode.ENDPOINT_FAILED
