--- a/tests/test_reclamation.py
+++ b/tests/test_reclamation.py
@@ -1,4 +1,4 @@
-"""No engine loses memory for good, and no live stream is cut for it."""
+"""Engine memory is reclaimed, and no live stream is cancelled for it."""
 
 import pathlib
 import signal
@@ -27,9 +27,11 @@
 
 #: Seconds within which an engine is free after an ordinary end.
 FREE_WITHIN = 4
-#: The same after an owner's death: two looks, and one for its watcher's.
+#: The same after its owner's death: two polls, one more if a watcher died.
 ORPHANS_WITHIN = 12
+#: Seconds past the deadline for which holdings are left alone.
 MARGIN = 5
+#: Seconds of silence after which an unlisted instance is forgotten.
 FORGOTTEN_AFTER = 2.0
 
 
@@ -47,7 +49,8 @@
 
 
 @pytest.fixture(autouse=True)
-def sound_engines(request: pytest.FixtureRequest) -> Iterator[None]:
+def healthy_engines(request: pytest.FixtureRequest) -> Iterator[None]:
+    """Clear all faults after each test; no engine may hold anything."""
     yield
     if 'site' in request.fixturenames:
         site = request.getfixturevalue('site')
@@ -55,7 +58,9 @@
         assert wait_until_free(site, ORPHANS_WITHIN) == {}
 
 
-def open_long(site: Site, caller: int = 0, **fields: object) -> OpenStream:
+def open_long_stream(
+    site: Site, caller: int = 0, **fields: object
+) -> OpenStream:
     """Open a stream that lasts much longer than the test."""
     return OpenStream(
         site.callers[caller],
@@ -71,14 +76,14 @@
 
 @pytest.mark.parametrize('lost', [0, 3], ids=['heard', 'lost cancels'])
 @pytest.mark.parametrize('events', [0, 3])
-def test_caller_goes_away(site: Site, events: int, lost: int) -> None:
+def test_caller_disconnects(site: Site, events: int, lost: int) -> None:
     """The caller closes its connection before or after the first token.
 
-    The engine does not notice; the instance cancels, and again as long as
-    cancels are lost.
+    The engine does not notice; the instance cancels, and repeats cancels
+    that are lost.
     """
     set_engines(site, lose_cancels=lost, delay_head=0 if events else 3)
-    stream = open_long(site, wait=events > 0)
+    stream = open_long_stream(site, wait=events > 0)
     if events:
         stream.read(events)
     else:
@@ -88,24 +93,24 @@
 
 
 def test_cancel_overtakes_its_dispatch(site: Site) -> None:
-    """The dispatch is under way for a second, the caller leaves before.
+    """The caller disconnects while its dispatch is delayed by a second.
 
-    The cancel is there first; when the dispatch arrives, the engine must not
-    begin what nobody would ever cancel.
+    The cancel arrives first; when the dispatch arrives, the engine must not
+    begin work that nobody would ever cancel.
     """
     set_engines(site, delay_dispatch=1.0)
-    before = count_ran(site)
-    stream = open_long(site, wait=False)
+    before = count_attempts(site)
+    stream = open_long_stream(site, wait=False)
     time.sleep(0.4)
     stream.close()
     time.sleep(1.2)
     assert wait_until_free(site, FREE_WITHIN) == {}
-    assert count_ran(site) == before
+    assert count_attempts(site) == before
 
 
 def test_deadline_passes(site: Site) -> None:
-    """The answer is not complete in time; the engine is told to stop."""
-    stream = open_long(site, deadline=1)
+    """The answer misses its deadline; the engine's work is cancelled."""
+    stream = open_long_stream(site, deadline=1)
     stream.read()
     assert stream.error['code'] == 'deadline_exceeded'
     assert wait_until_free(site, FREE_WITHIN) == {}
@@ -114,10 +119,10 @@
 def test_killed_instance_is_replaced(site: Site) -> None:
     """An instance is killed with open streams and started again.
 
-    Its new life is heard of long before the deadline of the streams.
+    Its new incarnation is known long before the deadline of the streams.
     """
     instance = site.instances[0]
-    streams = [open_long(site) for _ in range(3)]
+    streams = [open_long_stream(site) for _ in range(3)]
     instance.process.kill()
     site.start_instance(instance)
     site.wait_ready()
@@ -127,9 +132,9 @@
 
 
 def test_killed_instance_stays_away(site: Site) -> None:
-    """An instance is killed for good, and taken off the platform's list."""
+    """An instance is killed and removed from the platform's list."""
     instance = site.instances[1]
-    stream = open_long(site, 1)
+    stream = open_long_stream(site, 1)
     instance.process.kill()
     site.control(
         site.platform_address,
@@ -142,11 +147,11 @@
     site.wait_ready()
 
 
-def test_frozen_instance_is_not_robbed(site: Site) -> None:
-    """An instance is paused with a stream, off the list, and woken again.
+def test_frozen_instance_keeps_its_stream(site: Site) -> None:
+    """An instance is frozen with a stream, unlisted, and resumed.
 
-    Nobody hears of it for longer than it takes to be forgotten, yet its
-    connection is open and its caller waits: the answer must come whole.
+    It is silent for longer than it takes to be forgotten, yet its connection
+    is open and its caller waits: the answer must be complete.
     """
     instance = site.instances[2]
     stream = OpenStream(site.callers[2], 'frozen', 60, max_tokens=300)
@@ -169,10 +174,10 @@
 
 
 def test_planned_stop_releases(site: Site) -> None:
-    """A caller leaves, and its instance is stopped in the same moment."""
+    """A caller disconnects just as its instance is stopped."""
     instance = site.instances[3]
     set_engines(site, lose_cancels=1)
-    stream = open_long(site, 3)
+    stream = open_long_stream(site, 3)
     stream.close()
     instance.process.send_signal(signal.SIGTERM)
     assert instance.process.wait(20) == 0
@@ -184,9 +189,9 @@
 def test_deadline_ends_what_no_owner_releases(site: Site) -> None:
     """An instance is killed, and the platform does not notice.
 
-    Nothing proves its end, so its stream lasts until the deadline; exports
-    and pins as well, but for those of an earlier life.  What somebody else
-    who uses the engine holds is left alone.
+    Nothing proves that it has exited, so its stream is held until the
+    deadline; so are exports and pins, except those of an earlier incarnation.
+    Holdings of other users of the engine are left alone.
     """
     instance = site.instances[0]
     address = site.addresses[list_engines(site)[0]]
@@ -199,7 +204,7 @@
         body = {'owner': owner, 'tokens': 100, 'seconds': seconds}
         for kind in ('exports', 'pins'):
             site.control(address, 'PUT', f'/v1/{kind}/{item}', body)
-    stream = open_long(site, deadline=1)
+    stream = open_long_stream(site, deadline=1)
     instance.process.kill()
     limit = time.monotonic() + 1 + MARGIN + ORPHANS_WITHIN
     foreign = {('export', 'foreign'), ('pin', 'foreign')}
@@ -219,10 +224,10 @@
 def test_streams_of_a_zone_cut_off(tmp_path: pathlib.Path) -> None:
     """A zone is cut off, and the platform takes its instances off the list.
 
-    A stream inside the zone goes on and comes whole.  One that crosses the
-    cut is not cancelled from outside: when the network heals, it comes whole
-    as well.  Its engine is silent for longer than an engine may be, but there
-    is no other one that the work could move to.
+    A stream inside the zone goes on and completes.  One that crosses the cut
+    is not cancelled from outside and completes when the network heals.  Its
+    engine exceeds the silence timeout, but there is no other one that the work
+    could move to.
     """
     plan = SitePlan(
         example=ROADGRIP,
@@ -313,17 +318,18 @@
 
 
 def test_silence_proves_nothing_in_a_cut() -> None:
-    """A zone is cut off; seen from here, all its instances are forgotten."""
+    """A zone is cut off; seen from outside, its instances are forgotten."""
     item = HeldItem('stream', 'x', 'gone:3', 1, 10, attached=False)
-    for doubt in ({'all_zones_live': False}, {'listed': None}):
+    for uncertainty in ({'all_zones_live': False}, {'listed': None}):
         assert (
-            find_orphan_evidence(item, attrs.evolve(OWNERSHIP, **doubt)) is None
+            find_orphan_evidence(item, attrs.evolve(OWNERSHIP, **uncertainty))
+            is None
         )
     started = attrs.evolve(OWNERSHIP, watched_for=5, silent_seconds={})
     assert find_orphan_evidence(item, started) is None
 
 
-def count_ran(site: Site) -> int:
+def count_attempts(site: Site) -> int:
     """Count the attempts that the report engines have begun."""
     return sum(
         len(site.control(site.addresses[name], 'GET', '/control/ran'))
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -4,10 +4,10 @@
 
 
 def test_note_takes_a_refusals_fields() -> None:
-    """Every attempt that failed ended in an internal error.
+    """Details of a step may have any name, also that of a parameter.
 
-    The record of decisions was given the refusal's fields, one of which is
-    called as the method's own parameter was, and the handler raised.
+    One field of a refusal had the name of a parameter of ``note``, so each
+    failed attempt ended in an internal error.
     """
     decision = Decision('r', 'w', 's')
     decision.note('attempt failed', step='relay', peer='engine')
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry budgets, and taking failing endpoints out and back in."""
+"""Retry budgets, and ejection and return of failing endpoints."""
 
 import attrs
 
@@ -15,21 +15,21 @@
 from tests.test_routing import NOW, SHORT, Fleet
 
 FAILED = Refusal(RefusalCode.ENDPOINT_FAILED, '', Step.DISPATCH)
-LATE = Refusal(RefusalCode.DEADLINE_EXCEEDED, '', Step.RELAY)
+DEADLINE_MISSED = Refusal(RefusalCode.DEADLINE_EXCEEDED, '', Step.RELAY)
 
 
 def fail(fleet: Fleet, name: str, times: int, now: float = NOW) -> None:
-    """Let attempts at an endpoint fail."""
+    """Record failed attempts at an endpoint."""
     endpoint = fleet.table.get(name)
     for _ in range(times):
         record_outcome(fleet.table, endpoint, FAILED, now, Counters())
 
 
-def test_caller_is_told_to_come_back_when_queues_have_drained() -> None:
+def test_retry_delay_lasts_until_queues_have_drained() -> None:
     """A request fails while prompts of its length wait for half a minute.
 
-    A caller told to come back after a constant half second would only make
-    the queue longer.
+    Callers that retried after a constant half second would only make the
+    queue longer.
     """
     fleet = Fleet()
     attempts = Attempts(
@@ -66,11 +66,11 @@
 
 
 async def test_retries_end_with_the_budget() -> None:
-    """A third of the engines fail and the rest drown in retries.
+    """A third of the engines fail; retries must not overload the others.
 
-    Every failed request goes to another engine, the load on those left
-    doubles, they grow slow, more fail.  Cause: retries in proportion to
-    failures instead of to requests.
+    If retries grew with failures instead of requests, every failed request
+    would go to another engine; the load on the rest would double, they would
+    become slow, and more would fail.
     """
     fleet = Fleet()
     retries = Retries(Counters(), fleet.random)
@@ -83,7 +83,7 @@
     assert permitted <= 20
 
 
-def test_failing_endpoint_is_taken_out_and_probed() -> None:
+def test_failing_endpoint_is_ejected_and_probed() -> None:
     fleet = Fleet()
     fail(fleet, 'e0', 3)
     request = fleet.request(SHORT)
@@ -96,7 +96,7 @@
     assert 'e0' not in {fleet.choose(request) for _ in range(100)}
 
 
-def test_failed_probe_keeps_it_out_for_longer() -> None:
+def test_failed_probe_lengthens_the_ejection() -> None:
     fleet = Fleet()
     fail(fleet, 'e0', 3)
     first = fleet.table.get('e0').ejected_until - NOW
@@ -115,7 +115,7 @@
     assert chosen.count('e0') < 10
 
 
-def test_most_endpoints_failing_takes_only_half_out() -> None:
+def test_most_endpoints_failing_ejects_only_half() -> None:
     fleet = Fleet()
     for name in fleet.table.all():
         fail(fleet, name, 5)
@@ -123,19 +123,19 @@
     assert len(out) == len(fleet.table.all()) / 2
 
 
-def test_callers_cannot_take_an_endpoint_out_by_short_deadlines() -> None:
+def test_callers_cannot_eject_an_endpoint_by_short_deadlines() -> None:
     fleet = Fleet()
     endpoint = fleet.table.get('e0')
     for _ in range(10):
-        record_outcome(fleet.table, endpoint, LATE, NOW, Counters())
+        record_outcome(fleet.table, endpoint, DEADLINE_MISSED, NOW, Counters())
     assert endpoint.ejected_until < NOW
 
 
 def test_slow_endpoint_is_avoided_and_tried_again_when_reports_go_on() -> None:
-    """An engine ten times slower gets work for as long as nobody learns it.
+    """An engine ten times slower is avoided once its rate is learned.
 
-    Its rate is learned and it is left alone; but then nothing would tell that
-    it recovered.  What was learned fades with each report.
+    Without work nothing would show that it has recovered, so the learned rate
+    decays with each report.
     """
     fleet = Fleet()
     for endpoint in fleet.table.all().values():
@@ -159,10 +159,10 @@
 
 
 def test_flapping_engine_costs_a_bounded_share_of_requests() -> None:
-    """An engine fails every second request and is never out for long.
+    """An engine fails every second request, and returns after each ejection.
 
-    Each time it comes back it takes requests that fail.  Cause: a success in
-    between makes failures forgotten; the time out must still grow.
+    If a success in between reset its failures, its ejections would stay short,
+    and after each it would fail requests; the ejection time must still grow.
     """
     fleet = Fleet()
     request = fleet.request(SHORT)
@@ -187,10 +187,10 @@
 
 
 def test_late_engines_are_slow_not_failing_unless_silent() -> None:
-    """Under overload healthy engines are taken out one after another.
+    """Under overload healthy engines must not be ejected one after another.
 
-    Each is later than predicted and given up on; counted as a failure that
-    takes it out, and the rest get its load.  Cause: lateness seen as failure.
+    Each is later than predicted.  If that counted as a failure, it would be
+    ejected, and the rest would get its load and be late next.
     """
     for silent in (False, True):
         fleet = Fleet()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Decisions of routing, called as functions over state."""
+"""Routing decisions, called as functions of state."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Engines in two zones, all silent about nothing and idle."""
+    """Engines in two zones, all of which report that they are idle."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         )
 
     def request(self, tokens: int, prompt: bytes = b'') -> Request:
-        """Ask for something of a length."""
+        """Create a request with a number of prompt tokens."""
         return Request(
             'r',
             Workspace('w', [], ['reports']),
@@ -96,7 +96,7 @@
         )
         return chosen.unwrap().endpoint.name
 
-    def weigh(self, endpoint: Endpoint, tokens: int) -> float:
+    def predict_seconds(self, endpoint: Endpoint, tokens: int) -> float:
         """Return the predicted seconds on an endpoint."""
         search = Search(
             self.request(tokens), self.table, 'a', NOW, self.random, frozenset()
@@ -124,11 +124,11 @@
 
 
 def test_reported_work_is_neither_doubled_nor_forgotten() -> None:
-    """A caller waits behind work that its instance forgot.
+    """Dispatched work counts once, whether or not a report includes it.
 
-    An instance dispatches, a report from before that says the engine is
-    idle, and the next prompt is sent on top.  Cause: believing the report
-    alone.  Believing the sum counts the same prompt twice once it is in.
+    By the report alone, an engine would look idle after a dispatch that the
+    report is older than, and the next prompt would wait behind it.  The sum of
+    both would count the same prompt twice once it is reported.
     """
     endpoint = Fleet().table.get('e0')
     endpoint.begin_prefill(LONG, NOW)
@@ -138,7 +138,7 @@
     assert count_ahead(endpoint, LONG, NOW + 2) == LONG
 
 
-def test_work_of_an_unheard_instance_counts_by_the_report() -> None:
+def test_work_of_an_unknown_instance_counts_by_the_report() -> None:
     fleet = Fleet()
     endpoint = fleet.table.get('e0')
     fleet.report(endpoint, LONG, NOW)
@@ -167,8 +167,9 @@
 def test_stale_reports_do_not_herd() -> None:
     """Many instances with one stale report all pick the same engine.
 
-    Each of 9 instances sees e0 reported idle and the others a little busy.
-    Cause: a full scan for the least; sampling keeps e0's share bounded.
+    Each of 9 instances sees e0 reported idle and the others slightly busy.
+    A full scan for the least busy would choose e0 each time; sampling bounds
+    its share.
     """
     fleet = Fleet()
     for name, endpoint in fleet.table.all().items():
@@ -179,7 +180,7 @@
     assert chosen.count('e0') < 675
 
 
-def test_prefix_draws_until_its_queue_is_longer_than_it_is_worth() -> None:
+def test_cached_prefix_decides_until_the_queue_costs_more() -> None:
     fleet = Fleet()
     prompt = b'season of friction runs '.ljust(4 * 8_192, b'.')
     request = fleet.request(8_192, prompt)
@@ -198,21 +199,21 @@
 
 
 def test_objective_decides_where_long_prompts_go() -> None:
-    """Weights that change nothing would be a lie to operators.
+    """The weights of an objective must have an effect.
 
-    e0 has a long prompt in progress, the others are idle.  With the slowdown
-    of short requests in front a second long one joins it, else it does not.
+    e0 has a long prompt in progress, e1 is idle.  With most weight on the
+    slowdown of short requests a second long one joins e0, else it does not.
     """
-    joined = []
+    chosen = []
     for slowdown in (0.1, 0.9):
         fleet = Fleet(objective=Objective(slowdown, 1 - slowdown), engines=2)
         fleet.table.get('e0').begin_prefill(LONG, NOW)
         request = fleet.request(LONG)
-        joined.append(fleet.choose(request))
-    assert joined == ['e1', 'e0']
+        chosen.append(fleet.choose(request))
+    assert chosen == ['e1', 'e0']
 
 
-def test_own_zone_is_kept_for_small_differences() -> None:
+def test_local_zone_is_kept_for_small_differences() -> None:
     fleet = Fleet()
     for name, endpoint in fleet.table.all().items():
         if endpoint.declaration.zone == 'a':
@@ -222,7 +223,7 @@
     assert {fleet.table.get(name).declaration.zone for name in chosen} == {'a'}
 
 
-def test_other_zone_serves_when_the_own_one_cannot_in_time() -> None:
+def test_other_zone_serves_when_the_local_one_cannot_in_time() -> None:
     fleet = Fleet()
     for endpoint in fleet.table.all().values():
         if endpoint.declaration.zone == 'a':
@@ -235,30 +236,30 @@
 def test_full_memory_counts_against_long_prompts() -> None:
     fleet = Fleet()
     endpoint = fleet.table.get('e0')
-    free = fleet.weigh(endpoint, LONG)
+    free = fleet.predict_seconds(endpoint, LONG)
     full = EndpointReport('e0', '1', used_tokens=390_000, models=['m'])
     endpoint.accept_report(full, NOW)
-    assert fleet.weigh(endpoint, LONG) > 1.5 * free
-    assert fleet.weigh(endpoint, SHORT) == fleet.weigh(
+    assert fleet.predict_seconds(endpoint, LONG) > 1.5 * free
+    assert fleet.predict_seconds(endpoint, SHORT) == fleet.predict_seconds(
         fleet.table.get('e2'), SHORT
     )
 
 
-def learn_predictions_are_right(fleet: Fleet) -> None:
-    """Let predictions have come true often."""
-    for stretch in fleet.table.first_token_ratios:
+def confirm_predictions(fleet: Fleet) -> None:
+    """Record that many predictions were exact."""
+    for ratio in fleet.table.first_token_ratios:
         for _ in range(20):
-            stretch.observe(1)
+            ratio.observe(1)
 
 
-def test_hopeless_request_is_refused_with_when_to_come_back() -> None:
-    """A caller waits its whole deadline for an answer that cannot come.
+def test_hopeless_request_is_refused_with_a_retry_delay() -> None:
+    """A request that is predicted to miss its deadline is refused at once.
 
-    All queues are longer than the deadline; the request is dispatched,
-    computed and thrown away.  Cause: nobody compares prediction and deadline.
+    All queues are longer than the deadline.  The request would be dispatched,
+    computed and discarded, and its caller would wait until the deadline.
     """
     fleet = Fleet()
-    learn_predictions_are_right(fleet)
+    confirm_predictions(fleet)
     for endpoint in fleet.table.all().values():
         endpoint.begin_prefill(9_000, NOW)
     request = attrs.evolve(fleet.request(SHORT), deadline=NOW + 0.5)
@@ -274,29 +275,29 @@
 
 def test_nothing_is_refused_below_overload() -> None:
     fleet = Fleet()
-    learn_predictions_are_right(fleet)
+    confirm_predictions(fleet)
     for tokens in (SHORT, LONG, 399_000):
         # Without a queue even a deadline that looks too short is tried.
         request = attrs.evolve(fleet.request(tokens), deadline=NOW + 0.2)
         assert fleet.choose(request)
 
 
-def test_decision_looks_at_few_of_many_endpoints(
+def test_decision_checks_few_of_many_endpoints(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    looked = []
+    checked = []
     is_usable = Search.is_usable
 
-    def look(search: Search, endpoint: Endpoint) -> bool:
-        looked.append(endpoint)
+    def record_check(search: Search, endpoint: Endpoint) -> bool:
+        checked.append(endpoint)
         return is_usable(search, endpoint)
 
     fleet = Fleet(engines=4_600)
-    monkeypatch.setattr(Search, 'is_usable', look)
+    monkeypatch.setattr(Search, 'is_usable', record_check)
     for tokens in (SHORT, LONG):
-        looked.clear()
+        checked.clear()
         fleet.choose(fleet.request(tokens))
-        assert len(looked) <= 64
+        assert len(checked) <= 64
 
 
 def test_last_usable_endpoint_is_found_among_many() -> None:
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture(scope='module')
 def small_engines(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Site]:
-    """Run a site whose engines hold 4,000 tokens; reports are cut up."""
+    """Run a site whose engines hold 4,000 tokens, and split reports."""
     example = tmp_path_factory.mktemp('example')
     for path in ROADGRIP.glob('*.yaml'):
         content = yaml.safe_load(path.read_text())
@@ -46,11 +46,11 @@
 
 
 def test_long_prompt_is_answered_in_parts(small_engines: Site) -> None:
-    """A season review is more than twice one engine's memory.
+    """A prompt needs more than twice the memory of an engine.
 
-    The board gets one whole answer, and is told of how many parts it was made.
+    The caller gets one complete answer, and its number of parts in a header.
     """
-    answer = complete(small_engines.callers[0], prompt=write_season(10_000))
+    answer = complete(small_engines.callers[0], prompt=build_prompt(10_000))
     assert answer.status == 200, answer.body
     assert int(answer.headers['X-Segments']) >= 5
     assert answer.fields()['choices'][0]['finish_reason'] == 'stop'
@@ -59,7 +59,7 @@
 def test_streamed_answer_of_parts_ends_with_done(small_engines: Site) -> None:
     answer = complete(
         small_engines.callers[1],
-        prompt=write_season(10_000),
+        prompt=build_prompt(10_000),
         stream=True,
     )
     assert answer.headers['X-Segments']
@@ -67,9 +67,9 @@
 
 
 def test_failed_part_fails_the_whole(small_engines: Site) -> None:
-    """Every engine refuses work while a season review is being answered.
+    """Every engine refuses work while a prompt is answered in parts.
 
-    No part's answer may reach the board as if it were the review.
+    No part's answer may reach the caller as if it were the complete one.
     """
     engines = [
         address
@@ -78,7 +78,7 @@
     ]
     for address in engines:
         small_engines.set_faults(address, refuse=True)
-    answer = complete(small_engines.callers[0], prompt=write_season(10_000))
+    answer = complete(small_engines.callers[0], prompt=build_prompt(10_000))
     for address in engines:
         small_engines.set_faults(address)
     assert answer.status >= 500
@@ -86,7 +86,7 @@
 
 
 def test_too_many_parts_are_refused_at_once(small_engines: Site) -> None:
-    answer = complete(small_engines.callers[0], prompt=write_season(60_000))
+    answer = complete(small_engines.callers[0], prompt=build_prompt(60_000))
     assert answer.status == 413
     assert answer.refusal()['ran'] == 'no'
 
@@ -96,7 +96,7 @@
 ) -> None:
     answer = complete(
         small_engines.callers[0],
-        prompt=write_season(10_000),
+        prompt=build_prompt(10_000),
         model='roadgrip-corridor',
     )
     assert answer.status == 413
@@ -107,7 +107,7 @@
     st.integers(20, 80),
 )
 def test_parts_hold_every_record_once(records: list[str], size: int) -> None:
-    """Records cut in half or lost would falsify a review."""
+    """Records that are split or lost would falsify the answer."""
     segmenting = Segmenting(tokens=size, combine='', most_parts=1000)
     prompt = HEADING + '\n'.join(records)
     split = split_prompt(prompt, segmenting, 4)
@@ -122,8 +122,8 @@
         assert len((parts.heading + part).encode()) <= size * 4
 
 
-def write_season(tokens: int) -> str:
-    """Write a prompt of records, of about a number of tokens."""
+def build_prompt(tokens: int) -> str:
+    """Build a prompt of records, of about the given size."""
     record = 'section 12 wet 0.41 '
     count = tokens * 4 // len(record)
     return HEADING + '\n'.join(record for _ in range(count))
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""The HTTP server's own care for connections."""
+"""The HTTP server's handling of keep-alive connections."""
 
 import asyncio
 import contextlib
@@ -15,15 +15,15 @@
 CALL = b'GET /x HTTP/1.1\r\nHost: x\r\n\r\n'
 CONNECTIONS = 20
 PAGE = 4096
-#: Seconds in which the event loop learns of a connection that is closed.
-LEARNED = 0.01
-#: Turns of the loop between the sending of a call and the closing.
-MOMENTS = range(12)
+#: Seconds until the event loop has noticed that a connection was closed.
+CLOSE_NOTICED_SECONDS = 0.01
+#: Iterations of the event loop between sending a call and closing.
+TURNS = range(12)
 
 
 @attrs.define
-class Kept:
-    """A server, how many calls it has handled, and kept connections."""
+class KeepAliveServer:
+    """A server, its number of handled calls, and keep-alive connections."""
 
     server: HttpServer
     handled: int = 0
@@ -33,8 +33,8 @@
 
 
 @contextlib.asynccontextmanager
-async def keep_connections() -> AsyncIterator[Kept]:
-    """Serve, with connections that have had a call each."""
+async def keep_connections() -> AsyncIterator[KeepAliveServer]:
+    """Run a server with connections that have had one call each."""
     address = Address.from_text(find_free_address())
 
     async def answer(_http_request: web.Request) -> web.Response:
@@ -43,7 +43,7 @@
 
     application = web.Application()
     application.add_routes([web.get('/x', answer)])
-    kept = Kept(HttpServer(application, address))
+    kept = KeepAliveServer(HttpServer(application, address))
     await kept.server.start()
     try:
         for _ in range(CONNECTIONS):
@@ -62,40 +62,40 @@
 
 
 async def test_no_open_connection_goes_unread() -> None:
-    """A booking on a kept connection gets no answer, 10 ms after SIGTERM.
+    """A call on a keep-alive connection gets no answer, 10 ms after SIGTERM.
 
-    The server marked idle connections as closed and closed them 20 ms later.
-    What callers sent on them meanwhile was ignored, and they could not know
-    that it had not run.  A connection must be read or be closed.
+    This happens if idle connections are marked as closed and closed 20 ms
+    later: calls sent meanwhile are ignored, and callers cannot know that they
+    have not run.  A connection must be read or be closed.
     """
     async with keep_connections() as kept:
         await kept.server.close_idle()
-        await asyncio.sleep(LEARNED)
+        await asyncio.sleep(CLOSE_NOTICED_SECONDS)
         assert all(reader.at_eof() for reader, _ in kept.connections)
 
 
 async def test_a_connection_that_was_just_closed_hinders_no_other() -> None:
-    """Calls on kept connections hang until the end of a stop, 5 s later.
+    """Calls on keep-alive connections hang until the end of a stop, 5 s later.
 
-    A caller has just closed a connection, and aiohttp lists it until its task
-    has ended.  The closing of idle ones stopped at it with an error: those
-    before it were not read any more and not closed either.
+    aiohttp lists a connection that a caller has just closed until its task has
+    ended.  If closing idle connections fails at it, those before it are
+    neither read any more nor closed.
     """
     async with keep_connections() as kept:
         closed_here, *_, closed_before = kept.server.list_connections()
         closed_before.force_close()
         closed_here.force_close()
         await kept.server.close_idle()
-        await asyncio.sleep(LEARNED)
+        await asyncio.sleep(CLOSE_NOTICED_SECONDS)
         assert all(reader.at_eof() for reader, _ in kept.connections)
 
 
-@pytest.mark.parametrize('turns', MOMENTS)
+@pytest.mark.parametrize('turns', TURNS)
 async def test_a_call_that_was_read_is_answered(turns: int) -> None:
-    """A call comes just as its connection is closed for want of calls.
+    """A call arrives just as its idle connection is closed.
 
-    It is read, and its answer is lost with the connection: closing looks at
-    the calls in hand, and this one has not reached its handler yet.
+    Its answer is lost with the connection if the call has been read but has
+    not reached its handler: it is not among the calls in progress yet.
     """
     async with keep_connections() as kept:
         before = kept.handled
@@ -118,10 +118,10 @@
 
 
 async def test_a_whole_answer_leaves_its_connection_as_it_was() -> None:
-    """A stream waits for its caller at each event, on kept connections only.
+    """A complete answer must leave the write buffer limits as they were.
 
-    A whole answer came before it on the connection, and is sent until the
-    network has every byte; that stayed switched on for what came after.
+    It is sent until the network has every byte.  If that stayed switched on, a
+    later stream on the connection would wait for its caller at each event.
     """
     address = Address.from_text(find_free_address())
     limits: list[tuple[int, int]] = []
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins behave as what they stand for, as far as tests rely on it."""
+"""Stand-ins behave like the real components where tests rely on it."""
 
 import asyncio
 
@@ -6,17 +6,17 @@
 
 from kelproad.standins.engine import EngineSettings, EngineStandIn
 
-LAG = 1.0
+EVENT_LAG = 1.0
 
 
 async def test_cache_events_come_late_and_with_gaps() -> None:
-    """What an engine says of its cache is late, and some of it is lost.
+    """Cache events of an engine are late, and some are lost.
 
-    Whoever builds an index of prefixes from it must bear both.
+    An index of prefixes that is built from them must tolerate both.
     """
     settings = EngineSettings(
         time_scale=1000.0,
-        event_lag=LAG,
+        event_lag=EVENT_LAG,
         event_gap=2,
     )
     async with start_engine(settings) as client:
@@ -27,21 +27,21 @@
             headers={'X-Attempt-Id': 'a-1', 'X-Deadline-Seconds': '5'},
         )
         await answer.read()
-        early = await list_numbers(client)
-        await asyncio.sleep(1.5 * LAG)
-        late = await list_numbers(client)
+        early = await list_event_numbers(client)
+        await asyncio.sleep(1.5 * EVENT_LAG)
+        late = await list_event_numbers(client)
     assert early == []
     assert late == [1, 3]
 
 
-async def list_numbers(client: TestClient) -> list[int]:
-    """List the numbers of the cache events that an engine tells of."""
+async def list_event_numbers(client: TestClient) -> list[int]:
+    """List the numbers of the cache events that an engine reports."""
     listed = await client.get('/v1/cache-events')
     return [event['number'] for event in (await listed.json())['events']]
 
 
 async def test_export_of_one_engine_is_imported_by_another() -> None:
-    """What one engine computed is in the other's cache after the import."""
+    """Blocks exported by one engine are in the other's cache after import."""
     settings = EngineSettings(event_lag=0)
     wanted = {
         'owner': 'i:1',
@@ -53,8 +53,8 @@
         await first.put('/v1/exports/e', json=wanted)
         exported = await (await first.get('/v1/exports/e')).json()
         await other.post('/v1/imports/e', json=exported)
-        assert await list_numbers(first) == []
-        assert await list_numbers(other) == [1, 2]
+        assert await list_event_numbers(first) == []
+        assert await list_event_numbers(other) == [1, 2]
 
 
 def start_engine(settings: EngineSettings) -> TestClient:
