--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -177,7 +177,7 @@
     assert new.body.token == 2
 
 
-async def test_taking_whose_answer_was_lost(store: Store) -> None:
+async def test_acquisition_whose_answer_was_lost(store: Store) -> None:
     """A lease whose acquisition got no answer counts from its renewal.
 
     The contender finds the row as its own and renews it late.  Without a time
@@ -201,8 +201,8 @@
 ) -> None:
     """A holder that was refused for its token takes a new one.
 
-    An engine knows a newer token than the row.  With a late renewal of the
-    old token, all orders would be refused for ever.
+    An engine knows a newer token than the row.  After a late renewal
+    with the old token, all its orders would be refused.
     """
     lease = await store.acquire('a:1', 3)
     lease.give_up()
@@ -241,7 +241,7 @@
     assert (lease.body.token, lease.acquired_at) == (1, store.now)
 
 
-async def test_renewing_late_after_giving_back(store: Store) -> None:
+async def test_late_renewal_after_release(store: Store) -> None:
     """A holder that stops does not re-acquire its lapsed lease."""
     lease = await store.acquire('a:1', 3)
     store.now += 3
@@ -249,7 +249,7 @@
     assert not await lease.acquire_or_renew()
 
 
-async def test_renewing_after_giving_back(store: Store) -> None:
+async def test_renewal_after_release(store: Store) -> None:
     """A stopping holder's renewal does not re-acquire a released lease."""
     lease = await store.acquire('a:1', 3)
     await lease.release()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -158,9 +158,9 @@
 ) -> None:
     """An isolated instance must not give a workspace its whole limit again.
 
-    Seen from it, the three others go silent.  It must not take over their
-    shares, for they go on serving; the three take over that of the one, which
-    may be dead.
+    One of four instances is cut off from the three others.  It must not take
+    over their shares, for they go on serving; they take over its share, since
+    it may be dead.
     """
     site = Instances(4, clock, Limits(requests_per_second=100))
     rates = [120, 120, 120, 120]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -33,11 +33,11 @@
     def __init__(self, session: aiohttp.ClientSession) -> None:
         super().__init__(session)
         self.resumed: asyncio.Event | None = None
-        self.paused = 0
+        self.pauses = 0
 
     async def give(self, url: str, order: Order) -> OrderOutcome:
         if self.resumed is not None:
-            self.paused += 1
+            self.pauses += 1
             await self.resumed.wait()
         return await super().give(url, order)
 
@@ -190,7 +190,7 @@
 async def test_holder_woken_in_mid_order(fleet: Fleet) -> None:
     """The holder is paused between its check of the lease and an order.
 
-    Another one takes over and the operator applies a third version.  Resumed,
+    Another one takes over, and the operator applies a third version.  Resumed,
     the old one sends its stale order.  An engine that checks the token refuses
     it; one that ignores it loads the old version, and the new holder's next
     passes undo that, once.
@@ -203,9 +203,9 @@
     client = old._client
     client.resumed = asyncio.Event()
     stuck = asyncio.ensure_future(
-        fleet.reconcile_until(lambda: client.paused > 0, old),
+        fleet.reconcile_until(lambda: client.pauses > 0, old),
     )
-    while not client.paused:
+    while not client.pauses:
         await asyncio.sleep(0.02)
     await fleet.reconcile_until(lambda: new._lease.is_held, new)
     assert new._lease.body.token == old._lease.body.token + 1
@@ -244,9 +244,9 @@
     client = old._client
     client.resumed = asyncio.Event()
     stuck = asyncio.ensure_future(
-        fleet.reconcile_until(lambda: client.paused > 0, old),
+        fleet.reconcile_until(lambda: client.pauses > 0, old),
     )
-    while not client.paused:
+    while not client.pauses:
         await asyncio.sleep(0.02)
     await fleet.apply_version('1')
     await fleet.reconcile_until(lambda: new._lease.is_held, new)
@@ -345,13 +345,13 @@
     client.resumed = asyncio.Event()
     await controller.start()
     async with asyncio.timeout(20):
-        while not client.paused:
+        while not client.pauses:
             await asyncio.sleep(0.02)
         before = controller._lease.writes
         # The number of renewals in two lengths of the lease.
         while controller._lease.writes < before + 8:
             await asyncio.sleep(0.02)
-    assert client.paused == 1
+    assert client.pauses == 1
     assert controller._lease.body.token == 1
     client.resumed.set()
     await controller.stop()
