--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -68,8 +68,8 @@
 ) -> tuple[Report, Report]:
     *rest, flood_key = KEYS
     first, *more = rest
-    others = attrs.evolve(fleet.plan(others_load), key=first, more_keys=more)
-    flood = attrs.evolve(fleet.plan(flood_load), key=flood_key, more_keys=[])
+    others = attrs.evolve(fleet.plan(others_load), key=first, other_keys=more)
+    flood = attrs.evolve(fleet.plan(flood_load), key=flood_key, other_keys=[])
     return await asyncio.gather(run_load(others, None), run_load(flood, None))
 
 
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -7,7 +7,12 @@
 import numpy
 import yaml
 
-from kelproad.cli.loadreport import CLASS_LIMITS, Report, Sample, name_class
+from kelproad.cli.loadreport import (
+    LENGTH_CLASSES,
+    FirstTokenSample,
+    Report,
+    classify_length,
+)
 
 __all__ = ['Bound', 'Case', 'check_bounds', 'draw_plot', 'format_cases']
 
@@ -30,8 +35,8 @@
     """
 
     policy: str
-    alone: list[Sample] = attrs.field(factory=list)
-    mixed: list[Sample] = attrs.field(factory=list)
+    alone: list[FirstTokenSample] = attrs.field(factory=list)
+    mixed: list[FirstTokenSample] = attrs.field(factory=list)
     outcomes: dict[str, int] = attrs.field(factory=dict)
     dispatched: int = 0
 
@@ -55,7 +60,7 @@
             fields[f'short_alone_p{level}'] = alone
             fields[f'short_mixed_p{level}'] = mixed
             fields[f'slowdown_p{level}'] = mixed / alone
-            for name in CLASS_LIMITS:
+            for name in LENGTH_CLASSES:
                 fields[f'first_token_{name}_p{level}'] = _percentile(
                     _select_class(self.mixed, name),
                     level,
@@ -130,7 +135,7 @@
     plot, (left, right) = pyplot.subplots(1, 2, figsize=(13, 5))
     groups = (
         (left, [f'slowdown_p{level}' for level in _LEVELS]),
-        (right, [f'first_token_{name}_p95' for name in CLASS_LIMITS]),
+        (right, [f'first_token_{name}_p95' for name in LENGTH_CLASSES]),
     )
     for axes, names in groups:
         width = 0.8 / len(figures)
@@ -147,7 +152,7 @@
     plot.savefig(path)
 
 
-def _select_short(samples: Iterable[Sample]) -> list[float]:
+def _select_short(samples: Iterable[FirstTokenSample]) -> list[float]:
     return [
         sample.seconds
         for sample in samples
@@ -155,11 +160,13 @@
     ]
 
 
-def _select_class(samples: Iterable[Sample], name: str) -> list[float]:
+def _select_class(
+    samples: Iterable[FirstTokenSample], name: str
+) -> list[float]:
     return [
         sample.seconds
         for sample in samples
-        if name_class(sample.prompt_tokens) == name
+        if classify_length(sample.prompt_tokens) == name
     ]
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -9,7 +9,7 @@
 import attrs
 import yaml
 
-from kelproad.cli.loadgen import Plan, draw_arrivals, run_load
+from kelproad.cli.loadgen import LoadPlan, generate_arrivals, run_load
 from kelproad.cli.loadreport import Report
 from testbed.site import Site, SitePlan
 
@@ -89,7 +89,7 @@
         path.write_text(yaml.safe_dump(content, sort_keys=False))
         self.site.apply(path)
 
-    def put_policy(self, policy: str, slowdown: float) -> None:
+    def apply_policy(self, policy: str, slowdown: float) -> None:
         """Apply a policy and the weight of slowdown, and wait for adoption."""
         path = self.site.files[0]
         content = yaml.safe_load(path.read_text())
@@ -113,10 +113,10 @@
         time.sleep(_SETTLE_SECONDS)
         return report
 
-    def plan(self, load: Load, shorter_than: float = math.inf) -> Plan:
+    def plan(self, load: Load, shorter_than: float = math.inf) -> LoadPlan:
         """Plan a round at a share of the engines' capacity."""
         first, *others = KEYS
-        sample_plan = Plan(
+        sample_plan = LoadPlan(
             servers=self.site.callers,
             key=first,
             model=MODEL,
@@ -125,7 +125,7 @@
             seed=load.seed,
             longest=_MAX_PROMPT_TOKENS,
             deadline=load.deadline,
-            more_keys=others,
+            other_keys=others,
             repeated=load.repeated,
         )
         return attrs.evolve(
@@ -135,7 +135,7 @@
             shorter_than=shorter_than,
         )
 
-    def bring_about(self, fault: str) -> None:
+    def inject_fault(self, fault: str) -> None:
         """Set a fault: ``slow`` for one engine, ``third`` refusing, or none."""
         if fault == 'slow':
             self._set_fault(self.engines[:1], slowness=_SLOWDOWN_FACTOR)
@@ -156,14 +156,14 @@
         for name in engines:
             self.site.set_faults(self.site.addresses[name], **faults)
 
-    def _measure_capacity(self, plan: Plan) -> float:
+    def _measure_capacity(self, plan: LoadPlan) -> float:
         """Estimate the requests per second that saturate all engines.
 
         Cached prefixes of repeated prompts count as if they were prefilled.
         """
         costs = [
             _estimate_seconds(arrival.prompt_tokens)
-            for arrival in draw_arrivals(plan)
+            for arrival in generate_arrivals(plan)
             if arrival.prompt_tokens < _MEMORY_TOKENS
         ]
         share_served = len(costs) / (_SAMPLE_SECONDS * plan.rate)
--- a/bench/run.py
+++ b/bench/run.py
@@ -58,7 +58,7 @@
         with start_site(plan, pathlib.Path(directory)) as site:
             fleet = Fleet(site, time_scale)
             fleet.declare_priorities(priorities)
-            fleet.bring_about(fault)
+            fleet.inject_fault(fault)
             for number in range(rounds):
                 load = Load(share, seconds, seed=number + 1)
                 for case in cases.values():
@@ -77,7 +77,7 @@
 
 def _run_round(fleet: Fleet, case: Case, load: Load) -> None:
     policy, _, slowdown = case.policy.partition(':')
-    fleet.put_policy(policy, float(slowdown or _DEFAULT_WEIGHT))
+    fleet.apply_policy(policy, float(slowdown or _DEFAULT_WEIGHT))
     alone = fleet.send(load, SHORT_TOKENS)
     before = fleet.count_attempts()
     mixed = fleet.send(load)
--- a/bench/slopes_detection.py
+++ b/bench/slopes_detection.py
@@ -15,7 +15,7 @@
 __all__ = ['measure_detection']
 
 _SEED = 31
-_LOSSY = Conditions(loss=0.05, doubling=0.05, delay=0.005, jitter=0.3)
+_LOSSY = Conditions(loss=0.05, duplication=0.05, delay=0.005, jitter=0.3)
 _JOIN_SECONDS = 10
 _QUIET_SECONDS = 120
 _STEP = 0.25
--- a/src/kelproad/cli/client.py
+++ b/src/kelproad/cli/client.py
@@ -13,7 +13,7 @@
     'Token',
     'call_instance',
     'quote_name',
-    'show_problems',
+    'exit_with_problems',
 ]
 
 #: Exit status when the instance refuses the call or cannot be reached.
@@ -45,13 +45,13 @@
     method: str,
     path: str,
     body: Fields | None = None,
-    accepts_missing: bool = False,
+    allow_missing: bool = False,
 ) -> Fields:
     """Call an instance and return the JSON object that it answers with.
 
     Parameters
     ----------
-    accepts_missing
+    allow_missing
         Return the body of an answer with status 404 as well.
 
     Raises
@@ -72,7 +72,7 @@
             return json.load(response)
     except error.HTTPError as failure:
         answer = json.load(failure)
-        if failure.code == _NOT_FOUND and accepts_missing:
+        if failure.code == _NOT_FOUND and allow_missing:
             return answer
         _show_refusal(answer)
     except OSError as failure:
@@ -91,7 +91,7 @@
     return quote(name, safe='')
 
 
-def show_problems(problems: list[str]) -> None:
+def exit_with_problems(problems: list[str]) -> None:
     """Print problems to standard error and exit with status 2."""
     for problem in problems:
         typer.echo(problem, err=True)
@@ -101,7 +101,7 @@
 def _show_refusal(answer: Fields) -> None:
     problems = answer.get('problems')
     if problems:
-        show_problems(problems)
+        exit_with_problems(problems)
     refused = answer['error']
     typer.echo(
         f'refused ({refused["code"]}): {refused["message"]}',
--- a/src/kelproad/cli/files.py
+++ b/src/kelproad/cli/files.py
@@ -13,8 +13,8 @@
     Server,
     Token,
     call_instance,
+    exit_with_problems,
     quote_name,
-    show_problems,
 )
 
 __all__ = ['apply', 'check', 'diff', 'get', 'history', 'remove', 'rollback']
@@ -63,7 +63,7 @@
             held[alone.unwrap().name] = alone.unwrap()
             texts[alone.unwrap().name] = text
     if problems:
-        show_problems(list(dict.fromkeys(problems)))
+        exit_with_problems(list(dict.fromkeys(problems)))
     for path in paths:
         typer.echo(f'{path}: valid')
 
@@ -208,7 +208,9 @@
         paths.extend(files)
     missing = [str(path) for path in paths if not path.is_file()]
     if missing or not paths:
-        show_problems([f'{path}: no such file' for path in missing or given])
+        exit_with_problems(
+            [f'{path}: no such file' for path in missing or given]
+        )
     return paths
 
 
@@ -217,12 +219,12 @@
 
     document = read_document(text, source)
     if isinstance(document, Failure):
-        show_problems([str(problem) for problem in document.failure()])
+        exit_with_problems([str(problem) for problem in document.failure()])
     content = document.unwrap().content
     if not isinstance(content, dict) or not isinstance(
         content.get('name'), str
     ):
-        show_problems([f'{source}:1: $.name: required, but missing'])
+        exit_with_problems([f'{source}:1: $.name: required, but missing'])
     return content['name']
 
 
@@ -232,5 +234,5 @@
         token,
         'GET',
         f'/operator/files/{quote_name(name)}',
-        accepts_missing=True,
+        allow_missing=True,
     )
--- a/src/kelproad/cli/loadgen.py
+++ b/src/kelproad/cli/loadgen.py
@@ -17,7 +17,7 @@
 from ..transport.http import create_session
 from .loadreport import Report
 
-__all__ = ['Arrival', 'Plan', 'draw_arrivals', 'run_load']
+__all__ = ['Arrival', 'LoadPlan', 'generate_arrivals', 'run_load']
 
 _BYTES_PER_TOKEN = 4
 #: Seconds between two progress lines.
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Plan:
+class LoadPlan:
     """Parameters of a load run.
 
     Attributes
@@ -49,7 +49,7 @@
         Longest prompt, in tokens; longer sampled lengths are reduced to it.
     deadline
         Seconds that each request may take.
-    more_keys
+    other_keys
         API keys of further workspaces; earlier keys send more requests.
     shorter_than
         Prompts of this many tokens or more are skipped; the others are sent
@@ -66,14 +66,14 @@
     seed: int
     longest: int
     deadline: float
-    more_keys: list[str] = attrs.field(factory=list)
+    other_keys: list[str] = attrs.field(factory=list)
     shorter_than: float = math.inf
     repeated: float = 0
 
     @property
     def keys(self) -> list[str]:
         """API keys of all workspaces, the busiest first."""
-        return [self.key, *self.more_keys]
+        return [self.key, *self.other_keys]
 
 
 @attrs.frozen
@@ -98,7 +98,7 @@
 
 
 async def run_load(
-    plan: Plan,
+    plan: LoadPlan,
     show: Callable[[str], None] | None,
 ) -> Report:
     """Send a plan's requests, wait for all answers and report on them."""
@@ -107,7 +107,7 @@
     async with create_session() as session:
         progress = asyncio.create_task(_show_progress(report, show))
         calls = []
-        for arrival in draw_arrivals(plan):
+        for arrival in generate_arrivals(plan):
             await asyncio.sleep(started + arrival.offset - monotonic())
             report.sent += 1
             calls.append(
@@ -120,7 +120,7 @@
     return report
 
 
-def draw_arrivals(plan: Plan) -> Iterator[Arrival]:
+def generate_arrivals(plan: LoadPlan) -> Iterator[Arrival]:
     """Generate arrivals of a Poisson process with log-uniform lengths."""
     generator = random.Random(plan.seed)  # noqa: S311  no secret
     servers = itertools.cycle(plan.servers)
@@ -144,12 +144,12 @@
     return generator.choices(range(count), weights)[0]
 
 
-def _sample_prefix(generator: random.Random, plan: Plan) -> int:
+def _sample_prefix(generator: random.Random, plan: LoadPlan) -> int:
     prefix = generator.randint(1, _PREFIXES)
     return prefix if generator.random() < plan.repeated else 0
 
 
-def _sample_length(generator: random.Random, plan: Plan) -> int:
+def _sample_length(generator: random.Random, plan: LoadPlan) -> int:
     sampled = generator.random()
     low, high = _LONG, max(plan.longest, _LONG + 1)
     for lower, upper, share in _LENGTH_RANGES:
@@ -163,7 +163,7 @@
 
 async def _send_and_record(
     session: aiohttp.ClientSession,
-    plan: Plan,
+    plan: LoadPlan,
     arrival: Arrival,
     report: Report,
 ) -> None:
@@ -179,7 +179,7 @@
 
 async def _send_request(
     session: aiohttp.ClientSession,
-    plan: Plan,
+    plan: LoadPlan,
     arrival: Arrival,
     report: Report,
 ) -> str:
@@ -221,13 +221,13 @@
             continue
         now = monotonic()
         if previous is None:
-            report.note_first_token(
+            report.record_first_token(
                 arrival.prompt_tokens,
                 now - sent_at,
                 arrival.workspace,
             )
         else:
-            report.note_between_tokens(now - previous)
+            report.record_token_gap(now - previous)
         previous = now
     return outcome
 
--- a/src/kelproad/cli/loadreport.py
+++ b/src/kelproad/cli/loadreport.py
@@ -6,10 +6,16 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-__all__ = ['CLASS_LIMITS', 'Report', 'Sample', 'format_table', 'name_class']
+__all__ = [
+    'LENGTH_CLASSES',
+    'Report',
+    'FirstTokenSample',
+    'format_table',
+    'classify_length',
+]
 
 #: Upper bound, in tokens and exclusive, of each class of prompt lengths.
-CLASS_LIMITS = types.MappingProxyType(
+LENGTH_CLASSES = types.MappingProxyType(
     {
         '1k': 3_000,
         '10k': 30_000,
@@ -25,9 +31,9 @@
 _PERCENTILES = (50, 95, 99)
 
 
-def name_class(prompt_tokens: int) -> str:
+def classify_length(prompt_tokens: int) -> str:
     """Return the name of the length class that a prompt belongs to."""
-    for name, limit in CLASS_LIMITS.items():
+    for name, limit in LENGTH_CLASSES.items():
         if prompt_tokens < limit:
             return name
     raise ValueError(f'not a prompt length: {prompt_tokens}')
@@ -38,7 +44,7 @@
 
 
 @attrs.frozen
-class Sample:
+class FirstTokenSample:
     """Time to first token of one answer."""
 
     prompt_tokens: int
@@ -71,23 +77,23 @@
     )
     between_tokens: HdrHistogram = attrs.field(factory=_create_histogram)
     answered_tokens: int = 0
-    samples: list[Sample] = attrs.field(factory=list)
+    samples: list[FirstTokenSample] = attrs.field(factory=list)
     outcomes_by_workspace: dict[int, collections.Counter[str]] = attrs.field(
         factory=lambda: collections.defaultdict(collections.Counter),
     )
 
-    def note_first_token(
+    def record_first_token(
         self,
         prompt_tokens: int,
         seconds: float,
         workspace: int = 0,
     ) -> None:
         """Record a time to first token."""
-        self.samples.append(Sample(prompt_tokens, seconds, workspace))
-        histogram = self.first_token[name_class(prompt_tokens)]
+        self.samples.append(FirstTokenSample(prompt_tokens, seconds, workspace))
+        histogram = self.first_token[classify_length(prompt_tokens)]
         histogram.record_value(max(1, round(seconds * _MICROSECONDS)))
 
-    def note_between_tokens(self, seconds: float) -> None:
+    def record_token_gap(self, seconds: float) -> None:
         """Record the time between two consecutive tokens of an answer."""
         self.between_tokens.record_value(max(1, round(seconds * _MICROSECONDS)))
 
@@ -98,7 +104,7 @@
             'outcomes': dict(self.outcomes),
             'first_token': {
                 name: _summarize(self.first_token[name])
-                for name in CLASS_LIMITS
+                for name in LENGTH_CLASSES
                 if name in self.first_token
             },
             'between_tokens': _summarize(self.between_tokens),
--- a/src/kelproad/cli/operators.py
+++ b/src/kelproad/cli/operators.py
@@ -7,7 +7,7 @@
 import typer
 
 from .client import Fields, Server, Token, call_instance
-from .logstory import read_story
+from .requestlog import read_request_events
 
 __all__ = ['drain', 'dump', 'explain', 'status']
 
@@ -82,7 +82,7 @@
 
 
 def _explain_by_logs(request_id: str, paths: list[pathlib.Path]) -> None:
-    lines = read_story(request_id, paths)
+    lines = read_request_events(request_id, paths)
     if not lines:
         typer.echo(f'no line about {request_id}', err=True)
         raise typer.Exit(1)
--- a/src/kelproad/cli/logstory.py
+++ b/src/kelproad/cli/requestlog.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-__all__ = ['LogLine', 'read_story']
+__all__ = ['LogLine', 'read_request_events']
 
 #: Fields that aren't repeated among the details of a formatted line.
 _COMMON_FIELDS = frozenset(('time', 'level', 'instance', 'event', 'request'))
@@ -41,7 +41,7 @@
         return f'{offset:+9.4f} s  {self.instance:16} {self.event:18} {details}'
 
 
-def read_story(
+def read_request_events(
     request_id: str,
     paths: Iterable[pathlib.Path],
 ) -> list[LogLine]:
--- a/src/kelproad/cli/workload.py
+++ b/src/kelproad/cli/workload.py
@@ -36,10 +36,10 @@
     quiet: Annotated[bool, typer.Option(help='No progress lines.')] = False,
 ) -> None:
     """Send requests at a rate, whatever the answers do, and report."""
-    from .loadgen import Plan, run_load
+    from .loadgen import LoadPlan, run_load
     from .loadreport import format_table
 
-    plan = Plan(
+    plan = LoadPlan(
         servers=server,
         key=key,
         model=model,
--- a/src/kelproad/coordination/accounting.py
+++ b/src/kelproad/coordination/accounting.py
@@ -64,7 +64,7 @@
             decision = Decision(request_id, workspace='', service='')
             decision.note('refused', refusal=attrs.asdict(refusal))
             self._decisions.open(decision)
-        return callers.answer_refusal(refusal, request_id)
+        return callers.build_refusal_response(refusal, request_id)
 
     def count_refusal(self, refusal: Refusal) -> Refusal:
         """Count a refusal and return it."""
--- a/src/kelproad/coordination/admitting.py
+++ b/src/kelproad/coordination/admitting.py
@@ -47,7 +47,7 @@
         call: Call,
     ) -> Result[dict[str, Service], Refusal]:
         """List the models that the caller's workspace may use."""
-        key = callers.read_bearer(call.http_request)
+        key = callers.read_bearer_token(call.http_request)
         return await self._until_end(
             lambda: self._confirmation.resolve(
                 lambda snapshot: admission.list_models(snapshot, key),
--- a/src/kelproad/coordination/answers.py
+++ b/src/kelproad/coordination/answers.py
@@ -155,6 +155,8 @@
 
 
 def _adapt(event: Event, continuation: Continuation) -> Event:
-    if event.terminal:
+    if event.is_terminal:
         return event
-    return attrs.evolve(event, payload=continuation.adapt(event.payload))
+    return attrs.evolve(
+        event, payload=continuation.rewrite_event(event.payload)
+    )
--- a/src/kelproad/coordination/delivery.py
+++ b/src/kelproad/coordination/delivery.py
@@ -92,9 +92,9 @@
     async def refuse(self, refusal: Refusal) -> web.StreamResponse:
         """Send a refusal, or end a partly sent answer with an error event."""
         if self._response is None:
-            return callers.answer_refusal(refusal, self._request_id)
+            return callers.build_refusal_response(refusal, self._request_id)
         encoded = callers.encode_refusal(refusal, self._request_id)
-        await self._send_error_event(completions.encode_refused_event(encoded))
+        await self._send_error_event(completions.encode_error_event(encoded))
         # Closing without the last chunk leaves the HTTP body incomplete, so
         # that a client which ignores the event detects the truncation too.
         transport = self._http_request.transport
@@ -175,7 +175,7 @@
                 fits_answer = self._reservation.fits_answer(size)
                 raise DeliveryError(_refuse_full(fits_answer))
             self._payloads.append(event.payload)
-        if events[-1].terminal:
+        if events[-1].is_terminal:
             self._body = self._encode()
 
     async def finish(self) -> web.Response:
@@ -193,7 +193,7 @@
     async def refuse(self, refusal: Refusal) -> web.Response:
         """Build a refusal; no part of the answer has been sent."""
         self.restart()
-        return callers.answer_refusal(refusal, self._request_id)
+        return callers.build_refusal_response(refusal, self._request_id)
 
     def _encode(self) -> bytes:
         """Encode the complete answer in the requested format."""
--- a/src/kelproad/coordination/fileapi.py
+++ b/src/kelproad/coordination/fileapi.py
@@ -173,7 +173,7 @@
     failed: Refusal | list[Problem] | EditConflict,
 ) -> web.Response:
     if isinstance(failed, Refusal):
-        return callers.answer_refusal(failed, '')
+        return callers.build_refusal_response(failed, '')
     if isinstance(failed, EditConflict):
         return _answer_refusal(
             failed.refusal.code,
@@ -202,7 +202,7 @@
 
 def _answer_store_error(failed: Result[object, StoreError]) -> web.Response:
     error = failed.failure()
-    return callers.answer_refusal(
+    return callers.build_refusal_response(
         Refusal(
             RefusalCode.UNAVAILABLE,
             f'{error.operation}: {error.message}',
--- a/src/kelproad/coordination/ingress/attempts.py
+++ b/src/kelproad/coordination/ingress/attempts.py
@@ -16,9 +16,9 @@
 from returns.result import Failure, Result, Success
 
 from ...protocol.connections import (
-    NEVER_ADDED,
+    SKIPPED_AUTO_HEADERS,
     ConnectionProgress,
-    limit_connecting,
+    build_connect_timeout,
 )
 from ...protocol.plain import MAX_ANSWER_BYTES
 from ...state.calls import AnswerHead, Call, Forwarding, Outcome
@@ -207,9 +207,9 @@
             yarl.URL(f'http://{address}{call.head.target}', encoded=True),
             headers=self._dialect.encode_call(call, received, forwarding),
             data=call.body or None,
-            skip_auto_headers=NEVER_ADDED,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
             allow_redirects=False,
-            timeout=limit_connecting(CONNECT_TIMEOUT),
+            timeout=build_connect_timeout(CONNECT_TIMEOUT),
             trace_request_ctx=progress,
         )
 
--- a/src/kelproad/coordination/ingress/delivery.py
+++ b/src/kelproad/coordination/ingress/delivery.py
@@ -4,7 +4,7 @@
 from multidict import CIMultiDict
 
 from ...protocol.events import SequenceError
-from ...protocol.eventstreams import EventCutter
+from ...protocol.eventstreams import EventSplitter
 from ...state.calls import AnswerHead, Call
 from ...transport.deadlines import monotonic
 from ...transport.servers import finish_answer
@@ -35,7 +35,7 @@
         """Prepare the delivery; nothing is sent before the first event."""
         self._http_request = http_request
         self._response: web.StreamResponse | None = None
-        self.cutter = EventCutter(call.head.resume_after)
+        self.cutter = EventSplitter(call.head.resume_after)
         self.first_at: float | None = None
         self.longest_gap = float(0)
         self.gap_ended_at = float(0)
@@ -72,7 +72,7 @@
 
     async def finish(self, answer: OpenAnswer) -> web.StreamResponse:
         """End the answer to the caller after the end of the endpoint's body."""
-        if self.cutter.within_event:
+        if self.cutter.has_partial_event:
             raise SequenceError('the stream ends within an event')
         try:
             if self._response is None:
--- a/src/kelproad/coordination/ingress/node.py
+++ b/src/kelproad/coordination/ingress/node.py
@@ -8,7 +8,7 @@
 import aiohttp
 from mode import Service
 
-from ...protocol.connections import trace_connections
+from ...protocol.connections import build_connection_trace
 from ...state.counters import Counters
 from ...state.endpoints import EndpointTable
 from ...state.observations import EngineObservations
@@ -214,7 +214,7 @@
     def _open_session(self) -> aiohttp.ClientSession:
         session = create_single_use_session(
             self._settings.caller_address,
-            trace_configs=[trace_connections()],
+            trace_configs=[build_connection_trace()],
         )
         self._sessions.append(session)
         return session
--- a/src/kelproad/coordination/ingress/sending.py
+++ b/src/kelproad/coordination/ingress/sending.py
@@ -191,7 +191,7 @@
         endpoint = placement.primary
 
         def is_stalled(silence: float) -> bool:
-            self._speed_monitor.record_stall(
+            self._speed_monitor.check_stall(
                 attempt.call.service, endpoint, silence
             )
             if self._speed_monitor.is_silent(endpoint):
@@ -240,7 +240,7 @@
         if attempt.call.kind is not CallKind.RESUMABLE_STREAM:
             return False
         placement = attempt.placement
-        self._speed_monitor.record_wait(
+        self._speed_monitor.check_wait(
             placement.primary, waited, placement.predicted
         )
         return self._speed_monitor.is_silent(placement.primary)
@@ -281,7 +281,7 @@
 ) -> _SendResult:
     """Forward a stream event by event until it ends."""
     call, delivery = attempt.call, attempt.delivery
-    delivery.cutter.restart()
+    delivery.cutter.discard_partial_event()
     try:
         async with asyncio.timeout(call.remaining(monotonic())):
             async for chunk in answer.read_chunks(is_stalled):
--- a/src/kelproad/coordination/ingress/watching.py
+++ b/src/kelproad/coordination/ingress/watching.py
@@ -60,7 +60,7 @@
         self._read_slowdown = read_slowdown
         self._polls: dict[str, asyncio.Task[None]] = {}
 
-    def record_stall(
+    def check_stall(
         self,
         service: str,
         endpoint: Endpoint,
@@ -74,9 +74,9 @@
         work = self._ledger.sum_at(endpoint.name, now)
         slowdown = self._observations.find_slowdown(endpoint.name, now)
         expected = predict_pass(work, profile) * slowdown
-        self.record_wait(endpoint, seconds, expected)
+        self.check_wait(endpoint, seconds, expected)
 
-    def record_wait(
+    def check_wait(
         self,
         endpoint: Endpoint,
         seconds: float,
--- a/src/kelproad/coordination/instance.py
+++ b/src/kelproad/coordination/instance.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from ..protocol.connections import trace_connections
+from ..protocol.connections import build_connection_trace
 from ..protocol.engines import EngineClient
 from ..protocol.orders import OrderClient
 from ..protocol.plain import PlainClient
@@ -267,6 +267,6 @@
     def _open_session(self, single_use: bool = False) -> aiohttp.ClientSession:
         create = create_single_use_session if single_use else create_session
         origin = Address.from_text(self._settings.caller_address)
-        session = create(origin, trace_configs=[trace_connections()])
+        session = create(origin, trace_configs=[build_connection_trace()])
         self._sessions.append(session)
         return session
--- a/src/kelproad/coordination/operators.py
+++ b/src/kelproad/coordination/operators.py
@@ -70,14 +70,14 @@
         async def authenticate_first(http_request: web.Request) -> web.Response:
             operator = admission.authenticate_operator(
                 self._settings.operator_digests,
-                callers.read_bearer(http_request),
+                callers.read_bearer_token(http_request),
             )
             accepted = not isinstance(operator, Failure)
             self._counters.operator_calls.inc(
                 {'outcome': 'accepted' if accepted else 'unauthenticated'},
             )
             if not accepted:
-                return callers.answer_refusal(operator.failure(), '')
+                return callers.build_refusal_response(operator.failure(), '')
             return await handle(http_request, operator.unwrap())
 
         return authenticate_first
@@ -104,7 +104,7 @@
         request_id = http_request.match_info['request_id']
         decision = self._decisions.get(request_id)
         if decision is None:
-            return callers.answer_refusal(
+            return callers.build_refusal_response(
                 Refusal(
                     RefusalCode.NOT_FOUND,
                     'this instance has no record of the request',
--- a/src/kelproad/coordination/orders.py
+++ b/src/kelproad/coordination/orders.py
@@ -232,7 +232,7 @@
     async def _send_order(self, desired: DesiredState, order: Order) -> None:
         if not self._may_order(desired.group.fencing):
             return
-        outcome = await self._client.give(_build_url(desired), order)
+        outcome = await self._client.send(_build_url(desired), order)
         self._counters.orders.inc({'kind': order.kind, 'outcome': outcome})
         self.log.info(
             'ordered %s: %s %s %s for revision %d: %s',
--- a/src/kelproad/coordination/reception.py
+++ b/src/kelproad/coordination/reception.py
@@ -99,7 +99,9 @@
         Whether the body must be UTF-8.
     """
     headers = call.http_request.headers
-    key = callers.parse_key(headers.get(callers.KEY_HEADER))
+    key = callers.parse_idempotency_key(
+        headers.get(callers.IDEMPOTENCY_KEY_HEADER)
+    )
     seconds = callers.parse_deadline(
         headers.get(callers.DEADLINE_HEADER),
         RECEIVE_TIMEOUT,
@@ -198,7 +200,7 @@
 ) -> Result[_Authenticated, Refusal]:
     return admission.authenticate_workspace(
         snapshot,
-        callers.read_bearer(call.http_request),
+        callers.read_bearer_token(call.http_request),
     ).map(lambda workspace: _Authenticated(snapshot, workspace))
 
 
--- a/src/kelproad/coordination/relays.py
+++ b/src/kelproad/coordination/relays.py
@@ -182,7 +182,7 @@
 
     async def _resume(self) -> Result[EngineStream, Refusal]:
         """Resume the stream, with retries during a short outage."""
-        self.sequence.restart()
+        self.sequence.discard_partial_event()
         can_fail_over = self._answer.can_fail_over
         seconds = _RESUME_SECONDS if can_fail_over else _LAST_RESUME_SECONDS
         limit = min(monotonic() + seconds, self._attempt.deadline)
@@ -255,7 +255,7 @@
             raise _EngineError
         self._on_first_token()
         await self._answer.forward(events)
-        self.finished = events[-1].terminal
+        self.finished = events[-1].is_terminal
 
     def _compute_timeout(self) -> float | None:
         """Return the timeout for the next event; ``None`` waits for ever.
--- a/src/kelproad/coordination/sides.py
+++ b/src/kelproad/coordination/sides.py
@@ -72,7 +72,7 @@
     ) -> web.StreamResponse:
         is_work = http_request.path not in _ALWAYS_SERVED
         if self._drain.phase is DrainPhase.REFUSING and is_work:
-            return callers.answer_refusal(refuse_stopping(), '')
+            return callers.build_refusal_response(refuse_stopping(), '')
         return await handler(http_request)
 
     @web.middleware
@@ -85,10 +85,10 @@
         try:
             return await handler(http_request)
         except web.HTTPException as answered:
-            return callers.answer_refusal(_refuse_http(answered), '')
+            return callers.build_refusal_response(_refuse_http(answered), '')
         except Exception:
             _logger.exception('unexpected error in %s', http_request.path)
-            return callers.answer_refusal(_refuse_internal(), '')
+            return callers.build_refusal_response(_refuse_internal(), '')
 
     async def _close_when_leaving(
         self,
@@ -106,9 +106,11 @@
 
     async def _answer_ready(self, _http_request: web.Request) -> web.Response:
         if self._drain.phase is not DrainPhase.SERVING:
-            return callers.answer_refusal(refuse_stopping(), '')
+            return callers.build_refusal_response(refuse_stopping(), '')
         if self._holder.current.revision == 0:
-            return callers.answer_refusal(_refuse_unready(self._follower), '')
+            return callers.build_refusal_response(
+                _refuse_unready(self._follower), ''
+            )
         return web.Response(text='ready\n')
 
     async def _answer_metrics(self, http_request: web.Request) -> web.Response:
--- a/src/kelproad/platform/headers.py
+++ b/src/kelproad/platform/headers.py
@@ -7,7 +7,7 @@
 from multidict import CIMultiDict
 from returns.result import Failure, Result, Success
 
-from ..protocol.plain import leave_out
+from ..protocol.plain import filter_headers
 from ..state.calls import AnswerHead, Call, CallHead, Forwarding, Outcome
 from ..state.refusals import NOT_RUN_STATUSES, Ran, Refusal, RefusalCode, Step
 
@@ -98,7 +98,7 @@
     forwarding: Forwarding,
 ) -> CIMultiDict[str]:
     """Encode the head of a call for an endpoint."""
-    headers = leave_out(received, _SYSTEM_FIELDS)
+    headers = filter_headers(received, _SYSTEM_FIELDS)
     headers['Host'] = call.head.host
     headers[_DEADLINE] = str(max(1, int(forwarding.time_left * _MILLISECONDS)))
     headers[_EXPECTED_ENDPOINT] = forwarding.endpoint
@@ -123,7 +123,7 @@
     return AnswerHead(
         outcome=_classify_answer(response, request_id),
         status=response.status,
-        headers=tuple(leave_out(headers, _NO_FIELDS).items()),
+        headers=tuple(filter_headers(headers, _NO_FIELDS).items()),
         at_fault=headers.get(_AT_FAULT, ''),
         length=response.content_length,
     )
--- a/src/kelproad/protocol/callers.py
+++ b/src/kelproad/protocol/callers.py
@@ -21,22 +21,22 @@
 
 __all__ = [
     'DEADLINE_HEADER',
-    'KEY_HEADER',
+    'IDEMPOTENCY_KEY_HEADER',
     'REPLAYED_HEADER',
     'REQUEST_ID_HEADER',
     'SEGMENTS_HEADER',
     'CompletionBody',
-    'answer_refusal',
+    'build_refusal_response',
     'digest_key',
     'encode_refusal',
     'parse_deadline',
-    'parse_key',
+    'parse_idempotency_key',
     'read_body',
-    'read_bearer',
+    'read_bearer_token',
 ]
 
 DEADLINE_HEADER = 'X-Deadline-Seconds'
-KEY_HEADER = 'Idempotency-Key'
+IDEMPOTENCY_KEY_HEADER = 'Idempotency-Key'
 REQUEST_ID_HEADER = 'X-Request-Id'
 REPLAYED_HEADER = 'Idempotency-Replayed'
 SEGMENTS_HEADER = 'X-Segments'
@@ -164,14 +164,14 @@
     return Success(min(float(text), maximum))
 
 
-def parse_key(text: str | None) -> Result[str, Refusal]:
+def parse_idempotency_key(text: str | None) -> Result[str, Refusal]:
     """Check an idempotency key; without the header it is empty."""
     if text is None:
         return Success('')
     if not text.strip() or not _is_valid_key(text):
         return _fail_bad_request(
-            f'{KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} printable '
-            'characters',
+            f'{IDEMPOTENCY_KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} '
+            'printable characters',
         )
     return Success(text)
 
@@ -181,7 +181,7 @@
     return len(key) <= MAX_KEY_LENGTH and key.isprintable()
 
 
-def read_bearer(http_request: web.BaseRequest) -> str:
+def read_bearer_token(http_request: web.BaseRequest) -> str:
     """Return the bearer token of a call, or an empty string without one."""
     scheme, _, token = http_request.headers.get(
         'Authorization',
@@ -221,7 +221,7 @@
     )
 
 
-def answer_refusal(refusal: Refusal, request_id: str) -> web.Response:
+def build_refusal_response(refusal: Refusal, request_id: str) -> web.Response:
     """Build the HTTP response for a refusal."""
     headers = {REQUEST_ID_HEADER: request_id}
     if refusal.retry_after is not None:
--- a/src/kelproad/protocol/completions.py
+++ b/src/kelproad/protocol/completions.py
@@ -11,7 +11,7 @@
     'MalformedAnswerError',
     'assemble_answer',
     'encode_events',
-    'encode_refused_event',
+    'encode_error_event',
 ]
 
 
@@ -38,7 +38,7 @@
     return b''.join([b'data: %b\n\n' % payload for payload in payloads])
 
 
-def encode_refused_event(refusal: bytes) -> bytes:
+def encode_error_event(refusal: bytes) -> bytes:
     """Encode the event that reports that an answer was aborted.
 
     No ``[DONE]`` follows it, so a client cannot mistake the answer for a
--- a/src/kelproad/protocol/connections.py
+++ b/src/kelproad/protocol/connections.py
@@ -5,16 +5,21 @@
 
 __all__ = [
     'CONNECT_TIMEOUT',
-    'NEVER_ADDED',
+    'SKIPPED_AUTO_HEADERS',
     'ConnectionProgress',
-    'limit_connecting',
-    'trace_connections',
+    'build_connect_timeout',
+    'build_connection_trace',
 ]
 
 #: Seconds for connecting to an endpoint within a site.
 CONNECT_TIMEOUT = 2.0
 #: Headers that aiohttp must not add where the caller sent none.
-NEVER_ADDED = ('Accept', 'Accept-Encoding', 'Content-Type', 'User-Agent')
+SKIPPED_AUTO_HEADERS = (
+    'Accept',
+    'Accept-Encoding',
+    'Content-Type',
+    'User-Agent',
+)
 
 
 @attrs.define
@@ -31,12 +36,12 @@
     connected: bool = False
 
 
-def limit_connecting(seconds: float) -> aiohttp.ClientTimeout:
+def build_connect_timeout(seconds: float) -> aiohttp.ClientTimeout:
     """Limit the time to connect; the call's deadline limits the rest."""
     return aiohttp.ClientTimeout(total=None, sock_connect=seconds)
 
 
-def trace_connections() -> aiohttp.TraceConfig:
+def build_connection_trace() -> aiohttp.TraceConfig:
     """Build the trace that records when a request gets a connection.
 
     Before that no byte of it can have been written, so a failure means that
--- a/src/kelproad/protocol/continuations.py
+++ b/src/kelproad/protocol/continuations.py
@@ -100,7 +100,7 @@
         fields = {**body.fields, 'stream': True, 'continue_from': self.text}
         return msgspec.json.encode(fields)
 
-    def adapt(self, payload: bytes) -> bytes:
+    def rewrite_event(self, payload: bytes) -> bytes:
         """Give an event of the second engine the first event's id and time.
 
         Raises
--- a/src/kelproad/protocol/engines.py
+++ b/src/kelproad/protocol/engines.py
@@ -22,7 +22,7 @@
 from .connections import (
     CONNECT_TIMEOUT,
     ConnectionProgress,
-    limit_connecting,
+    build_connect_timeout,
 )
 
 __all__ = [
@@ -257,7 +257,7 @@
                     headers=attempt.headers(),
                     data=_wrap_body(body),
                     allow_redirects=False,
-                    timeout=limit_connecting(CONNECT_TIMEOUT),
+                    timeout=build_connect_timeout(CONNECT_TIMEOUT),
                     trace_request_ctx=progress,
                 )
         except asyncio.TimeoutError:
--- a/src/kelproad/protocol/events.py
+++ b/src/kelproad/protocol/events.py
@@ -36,7 +36,7 @@
     payload: bytes
 
     @property
-    def terminal(self) -> bool:
+    def is_terminal(self) -> bool:
         """Whether this event completes the answer."""
         return self.payload == DONE
 
@@ -82,7 +82,7 @@
         accepted = [self._accept(block) for block in blocks]
         return [event for event in accepted if event is not None]
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Discard a partial event before the stream is resumed."""
         self._buffer = b''
 
--- a/src/kelproad/protocol/eventstreams.py
+++ b/src/kelproad/protocol/eventstreams.py
@@ -9,7 +9,7 @@
 
 from .events import MAX_EVENT_BYTES, SequenceError
 
-__all__ = ['EventCutter', 'NumberedEvent']
+__all__ = ['EventSplitter', 'NumberedEvent']
 
 _SEPARATOR = b'\n\n'
 _ID_FIELD = b'id:'
@@ -26,7 +26,7 @@
     encoded: bytes
 
 
-class EventCutter:
+class EventSplitter:
     """Splits a byte stream into events and checks their numbers.
 
     Attributes
@@ -42,11 +42,11 @@
         self._buffer = b''
 
     @property
-    def within_event(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Discard a partial event before the stream is resumed."""
         self._buffer = b''
 
--- a/src/kelproad/protocol/files.py
+++ b/src/kelproad/protocol/files.py
@@ -20,7 +20,7 @@
 from ..state.problems import Problem
 from ..transport.addresses import Address, AddressError
 from .documents import Document, read_document, structure
-from .references import Finding, check_together
+from .references import Finding, check_across_files
 
 __all__ = ['check_removal', 'parse_file']
 
@@ -48,7 +48,7 @@
     others
         The files in force by name; one with this file's name is to be
         replaced and is ignored.
-    alone
+    skip_cross_checks
         Omit the checks against other files.
     texts
         Texts of the other files by name, for the line of a problem that this
@@ -78,7 +78,7 @@
     if name not in others:
         return [Problem(name, 1, '$', 'there is no such file in force')]
     remaining = [content for other, content in others.items() if other != name]
-    return [_locate(found, texts) for found in check_together(remaining)]
+    return [_locate(found, texts) for found in check_across_files(remaining)]
 
 
 def _check(
@@ -91,7 +91,7 @@
         other for name, other in others.items() if name != content.name
     ]
     problems = [document.report(*pair) for pair in _check_alone(content)]
-    for found in check_together([*remaining, content]):
+    for found in check_across_files([*remaining, content]):
         if found.file == content.name:
             problems.append(document.report(found.path, found.message))
         else:
--- a/src/kelproad/protocol/orders.py
+++ b/src/kelproad/protocol/orders.py
@@ -57,7 +57,7 @@
         except msgspec.DecodeError:
             return None
 
-    async def give(self, url: str, order: Order) -> OrderOutcome:
+    async def send(self, url: str, order: Order) -> OrderOutcome:
         """Send an order; as it names a target state, it may be repeated."""
         try:
             async with within(monotonic() + ORDER_TIMEOUT):
--- a/src/kelproad/protocol/plain.py
+++ b/src/kelproad/protocol/plain.py
@@ -11,12 +11,12 @@
 from ..transport.deadlines import monotonic, within
 from .connections import (
     CONNECT_TIMEOUT,
-    NEVER_ADDED,
+    SKIPPED_AUTO_HEADERS,
     ConnectionProgress,
-    limit_connecting,
+    build_connect_timeout,
 )
 
-__all__ = ['PlainAnswer', 'PlainCall', 'PlainClient', 'leave_out']
+__all__ = ['PlainAnswer', 'PlainCall', 'PlainClient', 'filter_headers']
 
 #: Largest answer of a plain service that is forwarded.
 MAX_ANSWER_BYTES = 16_777_216
@@ -128,9 +128,9 @@
                 'X-Deadline-Seconds': f'{call.deadline - monotonic():.3f}',
             },
             data=call.body or None,
-            skip_auto_headers=NEVER_ADDED,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
             allow_redirects=False,
-            timeout=limit_connecting(CONNECT_TIMEOUT),
+            timeout=build_connect_timeout(CONNECT_TIMEOUT),
             trace_request_ctx=progress,
         ) as response:
             received = await response.content.read(MAX_ANSWER_BYTES + 1)
@@ -144,15 +144,15 @@
 
 def filter_request_headers(headers: CIMultiDict[str]) -> CIMultiDict[str]:
     """Copy those headers of a caller that endpoints may receive."""
-    return leave_out(headers, _SYSTEM_HEADERS | _CALLER_HEADERS)
+    return filter_headers(headers, _SYSTEM_HEADERS | _CALLER_HEADERS)
 
 
 def filter_answer_headers(headers: CIMultiDict[str]) -> CIMultiDict[str]:
     """Copy those headers of an answer that the caller may receive."""
-    return leave_out(headers, _SYSTEM_ANSWER_HEADERS)
+    return filter_headers(headers, _SYSTEM_ANSWER_HEADERS)
 
 
-def leave_out(
+def filter_headers(
     headers: CIMultiDict[str],
     unwanted: frozenset[str],
 ) -> CIMultiDict[str]:
--- a/src/kelproad/protocol/references.py
+++ b/src/kelproad/protocol/references.py
@@ -17,7 +17,7 @@
     ServiceKind,
 )
 
-__all__ = ['Finding', 'check_together']
+__all__ = ['Finding', 'check_across_files']
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
     kind: str
 
 
-def check_together(contents: Iterable[FileContent]) -> list[Finding]:
+def check_across_files(contents: Iterable[FileContent]) -> list[Finding]:
     """Find duplicate declarations and references to undeclared names."""
     everything = list(contents)
     return [
--- a/src/kelproad/standins/engine.py
+++ b/src/kelproad/standins/engine.py
@@ -14,7 +14,7 @@
 from .batch import Batch
 from .faults import Faults, FaultyConnection
 from .holdings import Holdings, describe_holding
-from .orders import OrderedModels, fetch_weights, skip_weights
+from .orders import ManagedModels, fetch_weights, skip_weights
 from .settings import EngineSettings
 from .streams import RawFields, Stream, count_tokens
 
@@ -42,7 +42,7 @@
         self._incarnation = str(time.time_ns())
         self._model = models[0].partition('@')[0]
         weights = settings.weights_address
-        self._orders = OrderedModels(
+        self._orders = ManagedModels(
             models,
             self._incarnation,
             settings.enforces_fencing,
@@ -145,7 +145,7 @@
         stream = self._streams.get(attempt_id)
         number = int(http_request.query.get('from', '0'))
         if stream is None and self._faults.forge_resumes:
-            stream = Stream.forge(attempt_id, self._model, number)
+            stream = Stream.create_forged(attempt_id, self._model, number)
             self._streams[attempt_id] = stream
             self._batch.add(stream)
         if stream is None or stream.cancelled:
@@ -213,7 +213,7 @@
         number: int,
     ) -> None:
         while not stream.cancelled:
-            await stream.wait_beyond(number)
+            await stream.wait_for_events(number)
             for payload in stream.events[number:]:
                 if not await connection.send(number, payload):
                     return
--- a/src/kelproad/standins/faults.py
+++ b/src/kelproad/standins/faults.py
@@ -72,7 +72,7 @@
     forget: bool = False
     forge_resumes: bool = False
 
-    def strike(self) -> bool:
+    def affects_next_connection(self) -> bool:
         """Return whether the next connection is affected, and count it."""
         affected = self.connections != 0
         if self.connections > 0:
@@ -95,7 +95,7 @@
         self._response = response
         self._attempt_id = attempt_id
         self._faults = faults
-        self._affected = faults.strike()
+        self._affected = faults.affects_next_connection()
         self._sent = 0
 
     async def send(self, number: int, payload: bytes) -> bool:
--- a/src/kelproad/standins/holdings.py
+++ b/src/kelproad/standins/holdings.py
@@ -11,11 +11,11 @@
 from ..transport.deadlines import monotonic
 from .batch import Batch
 
-__all__ = ['Holdings', 'HoldingWanted', 'describe_holding']
+__all__ = ['Holdings', 'HoldingRequest', 'describe_holding']
 
 
 @attrs.frozen
-class HoldingWanted:
+class HoldingRequest:
     """Body of a request to hold an export or a pin.
 
     Attributes
@@ -84,7 +84,7 @@
     async def _put(self, http_request: web.Request) -> web.Response:
         wanted = msgspec.json.decode(
             await http_request.read(),
-            type=HoldingWanted,
+            type=HoldingRequest,
         )
         kind = http_request.match_info['kind'].removesuffix('s')
         item_id = http_request.match_info['item']
--- a/src/kelproad/standins/orders.py
+++ b/src/kelproad/standins/orders.py
@@ -17,7 +17,7 @@
     OrderKind,
 )
 
-__all__ = ['OrderedModels', 'fetch_weights', 'skip_weights']
+__all__ = ['ManagedModels', 'fetch_weights', 'skip_weights']
 
 #: Fetches the weights of a model and version; returns the seconds after which
 #: to retry if the weight store refused, else 0.
@@ -43,7 +43,7 @@
     load_seconds: float = 0.2
 
 
-class OrderedModels:
+class ManagedModels:
     """The models and the role of one engine, as changed by orders.
 
     Attributes
--- a/src/kelproad/standins/passes.py
+++ b/src/kelproad/standins/passes.py
@@ -146,7 +146,7 @@
         self.calls: list[EmulatedCall] = []
         self._order = itertools.count()
         self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
-        self.on_first: Callable[[EmulatedCall], None] = _ignore
+        self.on_first_event: Callable[[EmulatedCall], None] = _ignore
         self.on_end: Callable[[EmulatedCall], None] = _ignore
 
     def schedule(self, at: float, act: Callable[[], None]) -> None:
@@ -196,7 +196,7 @@
         # The last part of a prompt may be prefilled at any engine.
         for other in self.engines.values():
             for call in other.start_ready(self.now):
-                self.on_first(call)
+                self.on_first_event(call)
             self._start_pass(other)
         for call in done:
             self.on_end(call)
--- a/src/kelproad/standins/platform.py
+++ b/src/kelproad/standins/platform.py
@@ -13,7 +13,7 @@
 
 from ..protocol.store import ABSENT, ListedInstance, Listing, Row, Write
 from ..transport.deadlines import monotonic
-from .storefaults import Handler, hold_up
+from .storefaults import Handler, delay_call
 
 __all__ = ['Faults', 'PlatformStandIn']
 
@@ -132,7 +132,7 @@
         faults = self.faults
         if faults.down:
             return web.Response(status=503, text='outage')
-        await hold_up(faults.hang, faults.delay)
+        await delay_call(faults.hang, faults.delay)
         if http_request.method == 'GET':
             return await handler(http_request)
         return await self._write_with_faults(http_request, handler)
--- a/src/kelproad/standins/rowstore.py
+++ b/src/kelproad/standins/rowstore.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from ..transport.deadlines import monotonic
-from .storefaults import Handler, hold_up
+from .storefaults import Handler, delay_call
 
 __all__ = ['RowStoreStandIn']
 
@@ -104,7 +104,7 @@
         if http_request.path.startswith('/control'):
             return await handler(http_request)
         self._calls[http_request.path] += 1
-        await hold_up(self._faults.hang, self._faults.delay)
+        await delay_call(self._faults.hang, self._faults.delay)
         if self._faults.status:
             return web.Response(status=self._faults.status)
         return await handler(http_request)
--- a/src/kelproad/standins/storefaults.py
+++ b/src/kelproad/standins/storefaults.py
@@ -5,14 +5,14 @@
 
 from aiohttp import web
 
-__all__ = ['Handler', 'hold_up']
+__all__ = ['Handler', 'delay_call']
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 #: Seconds for which a call hangs, longer than any test waits.
 _HANG = 3600.0
 
 
-async def hold_up(hang: bool, delay: float) -> None:
+async def delay_call(hang: bool, delay: float) -> None:
     """Delay a call by some seconds, or for an hour if it is to hang."""
     if hang:
         await asyncio.sleep(_HANG)
--- a/src/kelproad/standins/streams.py
+++ b/src/kelproad/standins/streams.py
@@ -86,7 +86,7 @@
         )
 
     @classmethod
-    def forge(cls, attempt_id: str, model: str, number: int) -> Self:
+    def create_forged(cls, attempt_id: str, model: str, number: int) -> Self:
         """Create a stream of another prompt, from an event number on."""
         return cls(
             attempt_id=attempt_id,
@@ -116,7 +116,7 @@
         self.prompt_tokens += produced
         return True
 
-    async def wait_beyond(self, number: int) -> None:
+    async def wait_for_events(self, number: int) -> None:
         """Wait until there are more than ``number`` events, or a cancel."""
         async with self.changed:
             while len(self.events) <= number and not self.cancelled:
--- a/testbed/members.py
+++ b/testbed/members.py
@@ -47,7 +47,7 @@
     """
 
     loss: float = 0
-    doubling: float = 0
+    duplication: float = 0
     delay: float = 0.002
     jitter: float = 0.001
 
@@ -72,7 +72,7 @@
     def send(self, address: str, message: PeerMessage) -> int:
         """Encode and transmit a message; return its length in bytes."""
         encoded = encode_message(message, self._key)
-        self.site.carry(self.address, address, encoded)
+        self.site.transmit(self.address, address, encoded)
         return len(encoded)
 
 
@@ -159,7 +159,7 @@
             await self._process(self.members[address], message)
         self.now = until
 
-    def carry(self, origin: str, address: str, message: bytes) -> None:
+    def transmit(self, origin: str, address: str, message: bytes) -> None:
         """Schedule the delivery of a message, unless it is lost."""
         sender = self.members[origin]
         sender.sent_bytes += len(message)
@@ -168,7 +168,7 @@
         if receiver is None or sender.muted or self._is_cut(sender, receiver):
             return
         conditions = self.conditions
-        copies = 1 + (self.generator.random() < conditions.doubling)
+        copies = 1 + (self.generator.random() < conditions.duplication)
         for _ in range(copies):
             if self.generator.random() < conditions.loss:
                 continue
@@ -176,7 +176,7 @@
             late += self.generator.random() * conditions.jitter
             self._add(self.now + late, address, message)
 
-    async def wake(self, member: SimulatedMember) -> None:
+    async def resume(self, member: SimulatedMember) -> None:
         """Resume a frozen member; it receives its inbox at once."""
         member.running = True
         self._add(self.now, member.address, None)
@@ -213,7 +213,7 @@
             for member in self.running()
         )
 
-    def count_ghosts(self) -> int:
+    def count_stale(self) -> int:
         """Count pairs of a running member and a dead one it has as live."""
         names = self.running_names()
         return sum(len(self.see(member) - names) for member in self.running())
--- a/testbed/network.py
+++ b/testbed/network.py
@@ -26,11 +26,11 @@
         )
         wait_until_answering(f'http://{self._control}/control/network')
 
-    def host_of(self, zone: str) -> str:
+    def get_host(self, zone: str) -> str:
         """Return the IP address on which a zone's processes listen."""
         return f'{self._prefix_of(zone)}1'
 
-    def front(self, address: str, zone: str) -> str:
+    def open_proxy(self, address: str, zone: str) -> str:
         """Open a proxy to ``address`` and return the proxy's address."""
         proxy = find_free_address()
         link = {'listen': proxy, 'target': address, 'zone': zone}
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -128,7 +128,7 @@
         """Suspend the process (SIGSTOP), as a long pause would."""
         self.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume a frozen process (SIGCONT)."""
         self.send_signal(signal.SIGCONT)
 
@@ -141,17 +141,17 @@
         """Wait for the exit and return the exit code."""
         return self._process.wait(seconds)
 
-    def ask_to_stop(self) -> None:
+    def terminate(self) -> None:
         """Resume the process, send SIGTERM and do not wait."""
         if self.running:
-            self.wake()
+            self.resume()
             self._process.terminate()
 
     def stop(self) -> None:
         """Terminate the process; kill it if that takes too long."""
         if not self.running:
             return
-        self.ask_to_stop()
+        self.terminate()
         try:
             self._process.wait(_STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
--- a/testbed/routed.py
+++ b/testbed/routed.py
@@ -78,7 +78,7 @@
     endpoints: dict[str, str] = attrs.field(factory=dict)
     #: Addresses that endpoints advertise in the store, by name, where these
     #: differ from their own because of a proxy.
-    listed_at: dict[str, str] = attrs.field(factory=dict)
+    advertised_addresses: dict[str, str] = attrs.field(factory=dict)
     endpoint_processes: dict[str, Process] = attrs.field(factory=dict)
     instances: list[RoutedInstance] = attrs.field(factory=list)
     version: int = 0
@@ -119,7 +119,7 @@
         path = f'/control/rows/{table}/{key}'
         call_control(self.store, 'PUT', path, document)
 
-    def list_endpoint(
+    def put_endpoint_row(
         self,
         name: str,
         service: str,
@@ -132,7 +132,9 @@
             name,
             {
                 'service': service,
-                'address': self.listed_at.get(name, self.endpoints[name]),
+                'address': self.advertised_addresses.get(
+                    name, self.endpoints[name]
+                ),
                 'zone': zone,
                 'version': 'v1',
                 'slots': 8,
@@ -143,15 +145,15 @@
             },
         )
 
-    def drop_endpoint(self, name: str) -> None:
+    def delete_endpoint_row(self, name: str) -> None:
         """Delete the store row of an endpoint."""
         call_control(self.store, 'DELETE', f'/control/rows/servers/{name}')
 
-    def break_store(self, **faults: object) -> None:
+    def set_store_faults(self, **faults: object) -> None:
         """Set the faults of the store; none ends them."""
         call_control(self.store, 'PUT', '/control/faults', faults)
 
-    def break_endpoint(self, name: str, **faults: object) -> None:
+    def set_endpoint_faults(self, name: str, **faults: object) -> None:
         """Set the faults of an endpoint; none ends them."""
         address = self.endpoints[name]
         call_control(address, 'PUT', '/control/faults', faults)
@@ -172,7 +174,7 @@
         """Start an endpoint and write its store row."""
         self.endpoints[name] = find_free_address()
         self.restart_endpoint(name)
-        self.list_endpoint(name, service)
+        self.put_endpoint_row(name, service)
 
     def restart_endpoint(self, name: str) -> None:
         """Start the process of an endpoint with empty state."""
--- a/testbed/site.py
+++ b/testbed/site.py
@@ -25,7 +25,7 @@
 PEER_KEY = 'a-shared-key-of-the-test-site'
 _LOOPBACK = '127.0.0.1'
 #: Seconds within which all instances must adopt an applied configuration.
-_ADOPT_SECONDS = 20.0
+_ADOPT_TIMEOUT = 20.0
 _ADOPT_POLL = 0.05
 
 
@@ -249,10 +249,10 @@
         Raises
         ------
         TimeoutError
-            If an instance has not adopted it in ``_ADOPT_SECONDS``.
+            If an instance has not adopted it in ``_ADOPT_TIMEOUT``.
         """
         newest = self.accepted
-        limit = time.monotonic() + _ADOPT_SECONDS
+        limit = time.monotonic() + _ADOPT_TIMEOUT
         while any(
             self._read_revision(instance) < newest
             for instance in self.instances
@@ -301,7 +301,7 @@
         # Instances first, so that endpoints still accept their releases.
         for instance in self.instances:
             if instance.process is not None:
-                instance.process.ask_to_stop()
+                instance.process.terminate()
         for process in started:
             process.stop()
 
@@ -344,10 +344,12 @@
             wait_until_answering(f'http://{address}/{kind}')
 
     def _host_of(self, zone: str) -> str:
-        return self.network.host_of(zone) if self.network else _LOOPBACK
+        return self.network.get_host(zone) if self.network else _LOOPBACK
 
     def _open_proxy(self, address: str, zone: str) -> str:
-        return self.network.front(address, zone) if self.network else address
+        return (
+            self.network.open_proxy(address, zone) if self.network else address
+        )
 
     def _is_plain(self, name: str) -> bool:
         groups = [
--- a/testbed/soak/accounts.py
+++ b/testbed/soak/accounts.py
@@ -6,9 +6,9 @@
 
 from testbed.site import Site
 
-from .callers import Outcome, Told, is_late
+from .callers import Outcome, WorkRecord, exceeds_deadline
 
-__all__ = ['check_accounts']
+__all__ = ['check_consistency']
 
 #: Seconds within which engines release all memory and instances agree.
 SETTLE_SECONDS = 30.0
@@ -16,9 +16,9 @@
 _MAX_SHOWN = 3000
 
 
-def check_accounts(
+def check_consistency(
     site: Site,
-    records: list[Told],
+    records: list[WorkRecord],
     revision: int,
 ) -> list[str]:
     """Compare the callers' records with those of services and engines.
@@ -47,14 +47,14 @@
 
 
 def _check_record(
-    item: Told,
+    item: WorkRecord,
     effects: collections.Counter[str],
 ) -> list[str]:
     label = f'{item.kind} {item.reference} ({", ".join(item.outcomes)})'
     broken = []
     if item.wrong:
         broken.append(f'{label}: {item.wrong}')
-    if is_late(item):
+    if exceeds_deadline(item):
         broken.append(f'{label}: an attempt lasted {item.longest:.1f} s')
     if item.kind == 'completion':
         return broken
--- a/testbed/soak/callers.py
+++ b/testbed/soak/callers.py
@@ -12,7 +12,7 @@
 from kelproad.transport.http import create_session
 from testbed.site import Site
 
-__all__ = ['Callers', 'Outcome', 'Told']
+__all__ = ['Callers', 'Outcome', 'WorkRecord']
 
 _KEY = 'example-key-crews-colombo'
 _MODEL = 'roadgrip-report'
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class Told:
+class WorkRecord:
     """A piece of work and the outcome of each attempt at it.
 
     Attributes
@@ -63,7 +63,7 @@
         self._site = site
         self._random = random.Random(seed)
         self._rate = rate
-        self.told: list[Told] = []
+        self.told: list[WorkRecord] = []
 
     async def run(self, seconds: float) -> None:
         """Send for ``seconds``, then wait for every answer."""
@@ -78,7 +78,7 @@
     async def _work(self, session: aiohttp.ClientSession) -> None:
         kinds = ('completion', 'keyed booking', 'booking')
         kind = self._random.choices(kinds, (3, 2, 1))[0]
-        record = Told(f'work-{len(self.told)}', kind)
+        record = WorkRecord(f'work-{len(self.told)}', kind)
         self.told.append(record)
         attempts = _MAX_ATTEMPTS if kind == 'keyed booking' else 1
         for _ in range(attempts):
@@ -91,7 +91,7 @@
     async def _attempt(
         self,
         session: aiohttp.ClientSession,
-        record: Told,
+        record: WorkRecord,
     ) -> Outcome:
         server = self._random.choice(self._site.callers)
         started = time.monotonic()
@@ -115,7 +115,7 @@
         self,
         session: aiohttp.ClientSession,
         server: str,
-        record: Told,
+        record: WorkRecord,
     ) -> Outcome:
         headers = _headers()
         if record.kind == 'keyed booking':
@@ -137,7 +137,7 @@
         self,
         session: aiohttp.ClientSession,
         server: str,
-        record: Told,
+        record: WorkRecord,
     ) -> Outcome:
         stream = self._random.choice((True, False))
         prompt = record.reference + 'x' * self._random.choice((400, 20_000))
@@ -169,7 +169,7 @@
     }
 
 
-def _classify_refusal(record: Told, status: int, body: bytes) -> Outcome:
+def _classify_refusal(record: WorkRecord, status: int, body: bytes) -> Outcome:
     try:
         ran = json.loads(body)['error']['ran']
     except (ValueError, KeyError, TypeError):
@@ -178,6 +178,6 @@
     return Outcome.NOT_RUN if ran == 'no' else Outcome.MAY_HAVE_RUN
 
 
-def is_late(record: Told) -> bool:
+def exceeds_deadline(record: WorkRecord) -> bool:
     """Return whether an attempt exceeded its deadline by ``MARGIN``."""
     return record.longest > _DEADLINE + MARGIN
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -8,7 +8,7 @@
 
 from testbed.site import InstanceProcess, Site
 
-__all__ = ['FaultDraw', 'Faults']
+__all__ = ['FaultRecord', 'Faults']
 
 _MIN_SECONDS = 1.0
 _MAX_SECONDS = 5.0
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class FaultDraw:
+class FaultRecord:
     """One injected fault: its kind, target and duration."""
 
     name: str
@@ -46,7 +46,7 @@
             'engine mixes events': self._mix_events,
             'service loses answers': self._lose_service_answers,
         }
-        self.drawn: list[FaultDraw] = []
+        self.drawn: list[FaultRecord] = []
 
     async def run(self, seconds: float) -> None:
         """Inject faults for ``seconds``; all have ended on return."""
@@ -62,7 +62,7 @@
             name = self._random.choice(list(self._kinds))
             duration = self._random.uniform(_MIN_SECONDS, _MAX_SECONDS)
             subject = await self._kinds[name](duration)
-            self.drawn.append(FaultDraw(name, subject, duration))
+            self.drawn.append(FaultRecord(name, subject, duration))
             await asyncio.sleep(_PAUSE_SECONDS)
 
     # Instances
@@ -82,7 +82,7 @@
             return ''
         instance.process.freeze()
         await asyncio.sleep(duration)
-        instance.process.wake()
+        instance.process.resume()
         return instance.name
 
     def _choose_instance(self) -> InstanceProcess | None:
@@ -137,7 +137,7 @@
         process = self._site.endpoints[name]
         process.freeze()
         await asyncio.sleep(duration)
-        process.wake()
+        process.resume()
         return name
 
     async def _cut_streams(self, duration: float) -> str:
--- a/testbed/soak/links.py
+++ b/testbed/soak/links.py
@@ -4,12 +4,12 @@
 import contextlib
 import enum
 
-__all__ = ['Harm', 'Link']
+__all__ = ['LinkFault', 'Link']
 
 _CHUNK = 65_536
 
 
-class Harm(enum.StrEnum):
+class LinkFault(enum.StrEnum):
     """Fault that the proxy applies to its connections."""
 
     NONE = 'none'
@@ -31,7 +31,7 @@
         self.name = name
         self.address = ''
         self._target = target
-        self._fault = Harm.NONE
+        self._fault = LinkFault.NONE
         self._delay = float(0)
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -50,23 +50,23 @@
         self._server.close()
         self._abort_connections()
 
-    def harm(self, harm: Harm, delay: float = 0) -> None:
+    def harm(self, harm: LinkFault, delay: float = 0) -> None:
         """Set the fault of all connections, open and new ones."""
         self._fault = harm
         self._delay = delay
-        if harm is Harm.RESET:
+        if harm is LinkFault.RESET:
             self._abort_connections()
 
     def heal(self) -> None:
         """End the fault; connections that lost bytes stay silent."""
-        self.harm(Harm.NONE)
+        self.harm(LinkFault.NONE)
 
     async def _handle_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        if self._fault is Harm.RESET:
+        if self._fault is LinkFault.RESET:
             writer.transport.abort()
             return
         host, port = self._target.split(':')
@@ -107,7 +107,7 @@
                 is_dropping = is_dropping or self._drops(is_request)
                 if is_dropping:
                     continue
-                if self._fault is Harm.DELAYED:
+                if self._fault is LinkFault.DELAYED:
                     await asyncio.sleep(self._delay)
                 writer.write(chunk)
                 await writer.drain()
@@ -117,9 +117,9 @@
             writer.close()
 
     def _drops(self, is_request: bool) -> bool:
-        if self._fault is Harm.SILENT:
+        if self._fault is LinkFault.SILENT:
             return True
-        return self._fault is Harm.ONE_WAY and not is_request
+        return self._fault is LinkFault.ONE_WAY and not is_request
 
     def _abort_connections(self) -> None:
         for writer in self._writers:
--- a/testbed/soak/routed.py
+++ b/testbed/soak/routed.py
@@ -19,8 +19,8 @@
 from testbed.routed import RoutedSite, start_routed_site
 
 from .links import Link
-from .routed_callers import RoutedCallers, RoutedTold
-from .routed_checks import check_calls, check_calm
+from .routed_callers import CallRecord, RoutedCallers
+from .routed_checks import check_calls, check_recovery
 from .routed_cuts import is_cut_by_end, is_unanswered
 from .routed_faults import RoutedFaults, wait_for_all
 from .routed_stops import PlannedStop
@@ -60,7 +60,7 @@
         await asyncio.sleep(_RECOVERY_SECONDS)
         final_calls = await callers.call_once()
         _print_summary(callers, faults)
-        recovery = await asyncio.to_thread(check_calm, site, final_calls)
+        recovery = await asyncio.to_thread(check_recovery, site, final_calls)
         calls = await asyncio.to_thread(
             check_calls,
             site,
@@ -77,9 +77,9 @@
     for name, address in site.endpoints.items():
         links[name] = Link(name, address)
         await links[name].open()
-        site.listed_at[name] = links[name].address
+        site.advertised_addresses[name] = links[name].address
         service = 'book' if name.startswith('book') else 'writer'
-        await asyncio.to_thread(site.list_endpoint, name, service)
+        await asyncio.to_thread(site.put_endpoint_row, name, service)
     for number in range(1, _INSTANCES + 1):
         link = Link(f'store of edge-{number}', site.store)
         await link.open()
@@ -113,17 +113,18 @@
         _print_stop(stop, callers.told)
 
 
-def _print_stop(stop: PlannedStop, records: list[RoutedTold]) -> None:
+def _print_stop(stop: PlannedStop, records: list[CallRecord]) -> None:
     """Print a stop, with the calls that it truncated or left unanswered."""
     cut = sum(is_cut_by_end(item, stop) for item in records)
     unanswered = [
-        f'{item.sent_at - stop.asked_at:.2f} s, {item.connection}'
+        f'{item.sent_at - stop.terminated_at:.2f} s, {item.connection}'
         for item in records
         if is_unanswered(item, stop)
     ]
-    duration = stop.ended_at - stop.asked_at
+    duration = stop.ended_at - stop.terminated_at
     print(
-        f'  {stop.asked_at:.2f} stop of {stop.instance}: {duration:.2f} s,',
+        f'  {stop.terminated_at:.2f} stop of {stop.instance}:',
+        f'{duration:.2f} s,',
         f'exit code {stop.code}, {cut} truncated at its end,',
         f'no answer: {"; ".join(unanswered) or "none"}',
     )
--- a/testbed/soak/routed_callers.py
+++ b/testbed/soak/routed_callers.py
@@ -11,7 +11,7 @@
 
 from testbed.routed import HOST, RoutedInstance, RoutedSite
 
-__all__ = ['RoutedCallers', 'RoutedTold']
+__all__ = ['RoutedCallers', 'CallRecord']
 
 _CALLERS = 12
 #: Callers of long streams; together these fill half of the engines' slots, so
@@ -62,7 +62,7 @@
 
 
 @attrs.define
-class RoutedTold:
+class CallRecord:
     """One call and its result, as its caller observed it.
 
     Attributes
@@ -110,7 +110,7 @@
         """Kind of connection that it was sent on, for reports."""
         return 'new connection' if self.fresh else 'kept connection'
 
-    def find_fault(self) -> str:
+    def find_defect(self) -> str:
         """Return the defect of a complete answer; empty if none."""
         if not self.answered:
             return ''
@@ -137,7 +137,7 @@
         self._ids = itertools.count(1)
         #: API key of new calls; replaced by key rotations during the run.
         self.key = ''
-        self.told: list[RoutedTold] = []
+        self.told: list[CallRecord] = []
 
     async def run(self, seconds: float) -> None:
         """Call for ``seconds``, then wait for the calls in flight."""
@@ -151,7 +151,7 @@
                 *(self._call_until(end, shared, chosen) for chosen in kinds),
             )
 
-    async def call_once(self) -> list[RoutedTold]:
+    async def call_once(self) -> list[CallRecord]:
         """Make one call of each short kind at each instance."""
         async with aiohttp.ClientSession() as session:
             return [
@@ -184,8 +184,8 @@
         kind: _Kind,
         instance: RoutedInstance,
         fresh: bool = False,
-    ) -> RoutedTold:
-        record = RoutedTold(
+    ) -> CallRecord:
+        record = CallRecord(
             f'{next(self._ids):016x}',
             kind.name,
             self.key,
@@ -224,7 +224,7 @@
         self,
         kind: _Kind,
         instance: RoutedInstance,
-        told: RoutedTold,
+        told: CallRecord,
     ) -> str:
         url = f'http://{instance.caller}/{kind.name}/x'
         if not kind.streams:
@@ -232,7 +232,7 @@
         pace = _PASS_SECONDS if kind.long else _PACE
         return f'{url}?events={told.events}&pace={pace}'
 
-    def _build_headers(self, kind: _Kind, record: RoutedTold) -> dict[str, str]:
+    def _build_headers(self, kind: _Kind, record: CallRecord) -> dict[str, str]:
         headers = {
             'Host': HOST,
             'X-Kelproad-Request-Id': record.request_id,
--- a/testbed/soak/routed_checks.py
+++ b/testbed/soak/routed_checks.py
@@ -5,11 +5,15 @@
 from testbed.calls import CallError
 from testbed.routed import RoutedSite, wait_for
 
-from .routed_callers import RoutedTold
-from .routed_cuts import CROSSING, find_cut, find_failed_stop
+from .routed_callers import CallRecord
+from .routed_cuts import (
+    CLOSE_RACE_SECONDS,
+    find_failed_stop,
+    find_unexplained_truncation,
+)
 from .routed_faults import RoutedFaults, Span
 
-__all__ = ['check_calls', 'check_calm']
+__all__ = ['check_calls', 'check_recovery']
 
 #: Statuses that guarantee that the call has not run.
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
@@ -30,7 +34,7 @@
 
 def check_calls(
     site: RoutedSite,
-    records: list[RoutedTold],
+    records: list[CallRecord],
     faults: RoutedFaults,
 ) -> list[str]:
     """Return a line for each guarantee to callers that was violated."""
@@ -56,27 +60,27 @@
     """Return the endpoints of each request, one entry per run."""
     runs: dict[str, list[str]] = {}
     for name in site.endpoints:
-        forgotten = faults.forgotten_runs.get(name, [])
+        forgotten = faults.lost_runs.get(name, [])
         for run in (*forgotten, *site.show_endpoint(name)['runs']):
             runs.setdefault(run['X-Kelproad-Request-Id'], []).append(name)
     return runs
 
 
 def _find_violation(
-    item: RoutedTold,
+    item: CallRecord,
     endpoints: list[str],
     faults: RoutedFaults,
 ) -> str:
     """Return the guarantee that a call violates; empty if none."""
     runs = len(endpoints)
-    broken = item.find_fault() or _find_inexcusable(item, runs, faults)
+    broken = item.find_defect() or _find_inexcusable(item, runs, faults)
     if broken or _is_disturbed(item, faults):
         return broken
-    cut = find_cut(item, endpoints, faults)
+    cut = find_unexplained_truncation(item, endpoints, faults)
     return cut or _find_service_failure(item, runs, faults)
 
 
-def _find_inexcusable(item: RoutedTold, runs: int, faults: RoutedFaults) -> str:
+def _find_inexcusable(item: CallRecord, runs: int, faults: RoutedFaults) -> str:
     """Return a violation that no fault can excuse; empty if none."""
     if runs > 1 and item.kind in _AT_MOST_ONCE:
         return f'ran {runs} times'
@@ -89,10 +93,10 @@
 
 
 def _find_service_failure(
-    item: RoutedTold, runs: int, faults: RoutedFaults
+    item: CallRecord, runs: int, faults: RoutedFaults
 ) -> str:
     """Return a failure that a healthy instance must avoid; empty if none."""
-    issued = faults.given_at.get(item.key, item.sent_at)
+    issued = faults.issued_at.get(item.key, item.sent_at)
     known = issued + _KNOWN_WITHIN < item.sent_at
     if item.status == _UNKNOWN_KEY and known:
         if item.key not in faults.revoked_at:
@@ -100,13 +104,13 @@
     duration = item.ended_at - item.sent_at
     if duration > item.deadline + _LATE_TOLERANCE:
         return f'answered after {duration:.1f} s'
-    crossed = not runs and duration < CROSSING
+    crossed = not runs and duration < CLOSE_RACE_SECONDS
     if not (item.status or item.refused or crossed):
         return 'closed without an answer'
     return ''
 
 
-def _is_disturbed(item: RoutedTold, faults: RoutedFaults) -> bool:
+def _is_disturbed(item: CallRecord, faults: RoutedFaults) -> bool:
     """Return whether its instance was killed or frozen during the call.
 
     A planned stop counts only if it was killed before its grace period ended.
@@ -117,7 +121,7 @@
         if span.subject == item.instance and span.name in _INSTANCE_FAULTS
     ]
     spans += [
-        Span('killed', stop.instance, stop.killed_at, stop.back_at)
+        Span('killed', stop.instance, stop.killed_at, stop.ready_again_at)
         for stop in faults.stops
         if stop.instance == item.instance and stop.killed_at < math.inf
     ]
@@ -128,7 +132,9 @@
     )
 
 
-def check_calm(site: RoutedSite, final_calls: list[RoutedTold]) -> list[str]:
+def check_recovery(
+    site: RoutedSite, final_calls: list[CallRecord]
+) -> list[str]:
     """Return a line for each fault effect that outlasts all faults."""
     broken = [
         f'{item.request_id} {item.kind} failed after all faults ended: {item}'
--- a/testbed/soak/routed_cuts.py
+++ b/testbed/soak/routed_cuts.py
@@ -2,21 +2,21 @@
 
 from collections.abc import Iterable
 
-from .links import Harm
-from .routed_callers import RoutedTold
+from .links import LinkFault
+from .routed_callers import CallRecord
 from .routed_faults import RoutedFaults, Span
 from .routed_stops import GRACE, PlannedStop
 
 __all__ = [
-    'CROSSING',
-    'find_cut',
+    'CLOSE_RACE_SECONDS',
+    'find_unexplained_truncation',
     'find_failed_stop',
     'is_cut_by_end',
     'is_unanswered',
 ]
 
 #: Seconds in which a call may be lost unread as its connection is closed.
-CROSSING = 0.2
+CLOSE_RACE_SECONDS = 0.2
 
 #: Seconds after SIGTERM in which a load balancer notices the stop; it sends no
 #: calls later unless it has no other instance.
@@ -34,8 +34,8 @@
 _ENDPOINT_FAULTS = frozenset(('endpoint fails', 'link harmed'))
 
 
-def find_cut(
-    item: RoutedTold,
+def find_unexplained_truncation(
+    item: CallRecord,
     endpoints: list[str],
     faults: RoutedFaults,
 ) -> str:
@@ -64,18 +64,18 @@
         return 'truncated though nothing failed'
     if is_cut_by_end(item, stop):
         return ''
-    sent = item.sent_at - stop.asked_at
-    ended = item.ended_at - stop.asked_at
+    sent = item.sent_at - stop.terminated_at
+    ended = item.ended_at - stop.terminated_at
     return f'came {sent:.2f} s and was cut {ended:.2f} s after SIGTERM'
 
 
-def is_cut_by_end(item: RoutedTold, stop: PlannedStop) -> bool:
+def is_cut_by_end(item: CallRecord, stop: PlannedStop) -> bool:
     """Return whether a call was sent in time and truncated by a stop's end."""
-    in_time = item.sent_at <= stop.asked_at + _NOTICED_WITHIN
+    in_time = item.sent_at <= stop.terminated_at + _NOTICED_WITHIN
     return in_time and not item.whole and _ended_at_end_of(item, stop)
 
 
-def is_unanswered(item: RoutedTold, stop: PlannedStop) -> bool:
+def is_unanswered(item: CallRecord, stop: PlannedStop) -> bool:
     """Return whether a stop ended a connected call without any answer."""
     return (
         item.instance == stop.instance
@@ -86,7 +86,7 @@
 
 def find_failed_stop(
     stop: PlannedStop,
-    records: list[RoutedTold],
+    records: list[CallRecord],
     runs: dict[str, list[str]],
 ) -> str:
     """Return what was wrong with the exit of a stopped process.
@@ -106,45 +106,50 @@
     return '' if stop.code == 1 and aborted else f'exit code {stop.code}'
 
 
-def _is_aborted(item: RoutedTold, endpoints: list[str]) -> bool:
+def _is_aborted(item: CallRecord, endpoints: list[str]) -> bool:
     """Return whether a call ended like those that a stop aborts.
 
     A call that is refused on arrival was not in progress.
     """
     if item.whole:
         duration = item.ended_at - item.sent_at
-        return item.status in _FAILURE_STATUSES and duration > CROSSING
+        return (
+            item.status in _FAILURE_STATUSES and duration > CLOSE_RACE_SECONDS
+        )
     return _is_truncated(item, endpoints)
 
 
-def _ended_at_end_of(item: RoutedTold, stop: PlannedStop) -> bool:
+def _ended_at_end_of(item: CallRecord, stop: PlannedStop) -> bool:
     """Return whether a call ended in the last sixth of a grace period."""
     return (
         item.instance == stop.instance
-        and stop.asked_at + _MAY_TRUNCATE_AFTER <= item.ended_at
+        and stop.terminated_at + _MAY_TRUNCATE_AFTER <= item.ended_at
         and item.ended_at <= stop.ended_at + _EXIT_NOTICE_DELAY
     )
 
 
-def _is_truncated(item: RoutedTold, endpoints: list[str]) -> bool:
+def _is_truncated(item: CallRecord, endpoints: list[str]) -> bool:
     """Return whether an answer was truncated, or missing though it ran."""
     return not item.whole and bool(item.status or endpoints)
 
 
 def _find_stop(
-    item: RoutedTold,
+    item: CallRecord,
     stops: Iterable[PlannedStop],
 ) -> PlannedStop | None:
     """Return the stop of its instance during which a call ended."""
     for stop in stops:
-        if stop.instance == item.instance and stop.asked_at <= item.ended_at:
+        if (
+            stop.instance == item.instance
+            and stop.terminated_at <= item.ended_at
+        ):
             if item.ended_at <= stop.ended_at + _EXIT_NOTICE_DELAY:
                 return stop
     return None
 
 
 def _is_explained(
-    item: RoutedTold,
+    item: CallRecord,
     endpoints: list[str],
     faults: RoutedFaults,
 ) -> bool:
@@ -171,5 +176,5 @@
     name, _, harm = span.subject.partition(': ')
     if span.name == 'endpoint killed':
         return bool(name)
-    has_fault = harm != Harm.NONE.value
+    has_fault = harm != LinkFault.NONE.value
     return span.name in _ENDPOINT_FAULTS and has_fault and name in endpoints
--- a/testbed/soak/routed_faults.py
+++ b/testbed/soak/routed_faults.py
@@ -14,7 +14,7 @@
 from testbed.processes import wait_until_answering
 from testbed.routed import RoutedInstance, RoutedSite
 
-from .links import Harm, Link
+from .links import Link, LinkFault
 from .routed_callers import RoutedCallers
 from .routed_stops import PlannedStop, PlannedStops
 
@@ -83,9 +83,9 @@
         self._busy: set[str] = set()
         self.spans: list[Span] = []
         #: Run records that endpoints lost when they were killed, by name.
-        self.forgotten_runs: dict[str, list[dict[str, str]]] = {}
+        self.lost_runs: dict[str, list[dict[str, str]]] = {}
         #: Monotonic times at which a key was issued and revoked, by key.
-        self.given_at: dict[str, float] = {}
+        self.issued_at: dict[str, float] = {}
         self.revoked_at: dict[str, float] = {}
 
     @property
@@ -137,7 +137,7 @@
                 return ''
             instance.process.freeze()
             await asyncio.sleep(duration)
-            instance.process.wake()
+            instance.process.resume()
             return instance.name
 
     async def _stop(self, _duration: float) -> str:
@@ -194,7 +194,7 @@
             if not name:
                 return ''
             state = await asyncio.to_thread(self._site.show_endpoint, name)
-            self.forgotten_runs.setdefault(name, []).extend(state['runs'])
+            self.lost_runs.setdefault(name, []).extend(state['runs'])
             self._site.endpoint_processes[name].kill()
             await asyncio.sleep(duration)
             await asyncio.to_thread(self._site.restart_endpoint, name)
@@ -215,9 +215,11 @@
         with self._reserve(list(self._site.endpoints)) as name:
             if not name:
                 return ''
-            await asyncio.to_thread(self._site.break_endpoint, name, **fault)
+            await asyncio.to_thread(
+                self._site.set_endpoint_faults, name, **fault
+            )
             await asyncio.sleep(duration)
-            await asyncio.to_thread(self._site.break_endpoint, name)
+            await asyncio.to_thread(self._site.set_endpoint_faults, name)
             return f'{name}: {fault}'
 
     async def _disturb_store(self, duration: float) -> str:
@@ -233,13 +235,13 @@
         with self._reserve(['store']) as name:
             if not name:
                 return ''
-            await asyncio.to_thread(self._site.break_store, **fault)
+            await asyncio.to_thread(self._site.set_store_faults, **fault)
             await asyncio.sleep(duration)
-            await asyncio.to_thread(self._site.break_store)
+            await asyncio.to_thread(self._site.set_store_faults)
             return str(fault)
 
     async def _disturb_link(self, duration: float) -> str:
-        harm = self._random.choice(list(Harm))
+        harm = self._random.choice(list(LinkFault))
         with self._reserve(list(self._links)) as name:
             if not name:
                 return ''
@@ -260,7 +262,7 @@
             keys = (self._callers.key,)
             await asyncio.to_thread(self._site.put_configuration, keys)
             self.revoked_at[old] = time.monotonic()
-            self.given_at[self._callers.key] = time.monotonic()
+            self.issued_at[self._callers.key] = time.monotonic()
             return old
 
     async def _change_configuration(self, _duration: float) -> str:
--- a/testbed/soak/routed_stops.py
+++ b/testbed/soak/routed_stops.py
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    asked_at, ended_at, back_at
+    terminated_at, ended_at, ready_again_at
         Monotonic times of SIGTERM, of the exit or kill, and of readiness after
         the restart.
     code
@@ -42,16 +42,16 @@
     """
 
     instance: str
-    asked_at: float
+    terminated_at: float
     ended_at: float
-    back_at: float
+    ready_again_at: float
     code: int
     killed_at: float = math.inf
     overdue: bool = False
 
     def covers(self, moment: float) -> bool:
         """Return whether the instance was stopping at a monotonic time."""
-        return self.asked_at <= moment <= self.ended_at
+        return self.terminated_at <= moment <= self.ended_at
 
 
 class PlannedStops:
@@ -72,12 +72,12 @@
         process = instance.process
         second_signal = self._random.choice(_SECOND_SIGNALS)
         second_after = self._random.uniform(0, GRACE)
-        asked_at = time.monotonic()
+        terminated_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        kill_at = asked_at + min(GRACE, kill_after)
+        kill_at = terminated_at + min(GRACE, kill_after)
         if second_signal and await _is_running_until(
             process,
-            min(asked_at + second_after, kill_at),
+            min(terminated_at + second_after, kill_at),
         ):
             process.send_signal(second_signal)
         alive = await _is_running_until(process, kill_at)
@@ -88,7 +88,7 @@
         await asyncio.to_thread(self._site.restart_instance, instance)
         stop = PlannedStop(
             instance.name,
-            asked_at,
+            terminated_at,
             ended_at,
             time.monotonic(),
             code,
--- a/testbed/soak/run.py
+++ b/testbed/soak/run.py
@@ -9,8 +9,8 @@
 
 from testbed.site import Site, SitePlan, start_site
 
-from .accounts import check_accounts
-from .callers import Callers, Told
+from .accounts import check_consistency
+from .callers import Callers, WorkRecord
 from .faults import Faults
 
 __all__ = ['main', 'soak']
@@ -38,7 +38,7 @@
     _print_summary(callers.told, faults)
     revision = await asyncio.to_thread(_apply_last, site)
     return await asyncio.to_thread(
-        check_accounts,
+        check_consistency,
         site,
         callers.told,
         revision,
@@ -60,7 +60,7 @@
     return int(site.apply(site.files[-1])['revision'])
 
 
-def _print_summary(records: list[Told], faults: Faults) -> None:
+def _print_summary(records: list[WorkRecord], faults: Faults) -> None:
     for injected in faults.drawn:
         print(
             f'  {injected.name}: {injected.subject}, {injected.seconds:.1f} s'
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 from kelproad.standins.platform import PlatformStandIn
 from kelproad.state import invariants
 from testbed.site import Site, SitePlan, start_site
-from tests.fakes import Bench
+from tests.fakes import ConfigurationSite
 
 # Results must not depend on how busy the machine is: the examples are the same
 # in each run, and neither generating nor testing one has a time limit.
@@ -46,9 +46,9 @@
 
 
 @pytest.fixture
-async def bench() -> AsyncIterator[Bench]:
+async def bench() -> AsyncIterator[ConfigurationSite]:
     """Serve a stand-in platform for instances in this process."""
     standin = PlatformStandIn()
     async with TestServer(standin.create_application()) as server:
         async with aiohttp.ClientSession() as session:
-            yield Bench(standin, server, session)
+            yield ConfigurationSite(standin, server, session)
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -17,7 +17,7 @@
     return [name for name in site.addresses if name.startswith('report-')]
 
 
-def set_engines(
+def set_engine_faults(
     site: Site,
     names: list[str] | None = None,
     **faults: object,
@@ -28,7 +28,7 @@
         site.set_faults(site.addresses[name], **(faults if chosen else {}))
 
 
-def list_held(site: Site) -> dict[str, dict[str, object]]:
+def list_held_streams(site: Site) -> dict[str, dict[str, object]]:
     """Map each report engine to its own account of what it holds."""
     return {
         name: site.control(site.addresses[name], 'GET', '/v1/held')
@@ -36,7 +36,7 @@
     }
 
 
-def list_cancels(site: Site) -> list[object]:
+def list_unconfirmed_cancels(site: Site) -> list[object]:
     """List the cancels of all instances that no engine has confirmed."""
     return [
         cancel
@@ -47,13 +47,13 @@
     ]
 
 
-def wait_until_free(site: Site, seconds: float) -> dict[str, object]:
+def wait_until_released(site: Site, seconds: float) -> dict[str, object]:
     """Wait until no engine holds anything; return those that do."""
     limit = time.monotonic() + seconds
     while True:
         left = {
             name: held
-            for name, held in list_held(site).items()
+            for name, held in list_held_streams(site).items()
             if held['held'] or held['used_tokens']
         }
         if not left or time.monotonic() > limit:
@@ -64,9 +64,9 @@
 def wait_until_confirmed(site: Site, seconds: float) -> list[object]:
     """Wait until every cancel is confirmed; return the open ones."""
     limit = time.monotonic() + seconds
-    while list_cancels(site) and time.monotonic() < limit:
+    while list_unconfirmed_cancels(site) and time.monotonic() < limit:
         time.sleep(_POLL_SECONDS)
-    return list_cancels(site)
+    return list_unconfirmed_cancels(site)
 
 
 class OpenStream:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -60,7 +60,7 @@
 
 
 @attrs.define
-class Bench:
+class ConfigurationSite:
     """A stand-in platform, and instances that are its clients."""
 
     standin: PlatformStandIn
@@ -91,7 +91,7 @@
         return peer
 
 
-def declare(weight: int, name: str = 'w', file: str = 'f') -> str:
+def render_workspace_file(weight: int, name: str = 'w', file: str = 'f') -> str:
     return (
         f'name: {file}\nworkspaces:\n'
         f'  - {{name: {name}, key_digests: [], services: [], '
--- a/tests/ingress/callers.py
+++ b/tests/ingress/callers.py
@@ -26,7 +26,7 @@
     broken: bool = False
 
     @property
-    def stamped(self) -> bool:
+    def has_stamp(self) -> bool:
         """Whether the answer has an endpoint's stamp."""
         return 'X-Kelproad-Server-Stamp' in self.headers
 
@@ -105,7 +105,7 @@
     )
 
 
-def run_aside(
+def run_in_thread(
     target: Callable[[], Answer], results: list[Answer]
 ) -> threading.Thread:
     """Start a call in a thread that appends its answer to a list."""
@@ -114,7 +114,7 @@
     return thread
 
 
-def count_events(answer: Answer) -> list[int]:
+def list_event_ids(answer: Answer) -> list[int]:
     """List the event ids of an answer, in order."""
     return [
         int(line[3:])
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -30,7 +30,7 @@
     read_answer_head,
     read_call_head,
 )
-from kelproad.protocol.connections import trace_connections
+from kelproad.protocol.connections import build_connection_trace
 from kelproad.state.calls import Call, CallHead, Forwarding
 from kelproad.state.counters import Counters
 from kelproad.state.declarations import (
@@ -99,7 +99,7 @@
         '/ready',
     )
     async with create_single_use_session(
-        trace_configs=[trace_connections()],
+        trace_configs=[build_connection_trace()],
     ) as session:
         yield EndpointClient(session, dialect)
 
--- a/tests/ingress/test_calls_site.py
+++ b/tests/ingress/test_calls_site.py
@@ -11,7 +11,7 @@
 from testbed.routed import RoutedSite, start_routed_site, wait_for
 from tests.ingress.callers import (
     call,
-    count_events,
+    list_event_ids,
     make_headers,
     next_id,
     send_raw,
@@ -44,7 +44,7 @@
     """Yield the site; then clear all faults and await healthy endpoints."""
     yield running
     for name in running.endpoints:
-        running.break_endpoint(name)
+        running.set_endpoint_faults(name)
     # Ejected endpoints get calls again only after some seconds.
     wait_for(
         lambda: all(
@@ -60,7 +60,7 @@
     answer = call(site.instances[0], '/lookups/a%2Fb?c=d')
     assert answer.status == 200
     assert answer.body.startswith(b'answer of book-')
-    assert answer.stamped
+    assert answer.has_stamp
     assert answer.headers['X-Kelproad-Request-Id'] == answer.request_id
     runs = [
         run
@@ -116,7 +116,7 @@
 
     The call must be retried at the other one, so the caller sees no error.
     """
-    site.break_endpoint('book-1', error=True)
+    site.set_endpoint_faults('book-1', error=True)
     answers = [call(site.instances[0], '/lookups/x') for _ in range(6)]
     assert {answer.status for answer in answers} == {200}
 
@@ -126,10 +126,10 @@
 ) -> None:
     """The caller gets an endpoint's own error answer with its stamp."""
     for name in BOOK_ENDPOINTS:
-        site.break_endpoint(name, error=True)
+        site.set_endpoint_faults(name, error=True)
     answer = call(site.instances[0], '/lookups/x')
     assert answer.status == 500
-    assert answer.stamped
+    assert answer.has_stamp
     assert answer.body == b'failed here'
 
 
@@ -142,16 +142,16 @@
     that states that it has not run, since the caller would then repeat it.
     """
     for name in BOOK_ENDPOINTS:
-        site.break_endpoint(name, lose=True)
+        site.set_endpoint_faults(name, lose=True)
     answer = call(site.instances[0], '/bookings/x', 'POST', b'run 7')
     assert answer.status == 502
-    assert not answer.stamped
+    assert not answer.has_stamp
     assert site.count_runs(answer.request_id) == 1
 
 
 def test_a_booking_is_retried_where_nothing_ran(site: RoutedSite) -> None:
     """A full endpoint reports that it did not run it; the other one does."""
-    site.break_endpoint('book-1', shed=True)
+    site.set_endpoint_faults('book-1', shed=True)
     for _ in range(4):
         answer = call(site.instances[0], '/bookings/x', 'POST', b'run 8')
         assert answer.status == 200
@@ -161,7 +161,7 @@
 def test_a_refusal_states_when_to_retry(site: RoutedSite) -> None:
     """All endpoints are full: 503 at once with ``Retry-After``, not run."""
     for name in BOOK_ENDPOINTS:
-        site.break_endpoint(name, shed=True)
+        site.set_endpoint_faults(name, shed=True)
     answer = call(site.instances[0], '/bookings/x', 'POST', b'run 9')
     assert answer.status == 503
     assert float(answer.headers['Retry-After']) > 0
@@ -174,7 +174,7 @@
 ) -> None:
     """All endpoints hang: the caller gets a 504, as it may have run."""
     for name in BOOK_ENDPOINTS:
-        site.break_endpoint(name, hang=True)
+        site.set_endpoint_faults(name, hang=True)
     answer = call(
         site.instances[0],
         '/bookings/x',
@@ -194,7 +194,7 @@
     Waiting for it would use up the deadline.  A lookup may run twice, so
     another endpoint must answer it before that.
     """
-    site.break_endpoint(BOOK_ENDPOINTS[0], hang=True)
+    site.set_endpoint_faults(BOOK_ENDPOINTS[0], hang=True)
     answers = [
         call(
             site.instances[0],
@@ -217,7 +217,7 @@
     lookup must not be abandoned while its answer may still arrive.
     """
     for name in BOOK_ENDPOINTS:
-        site.break_endpoint(name, pace=0.45)
+        site.set_endpoint_faults(name, pace=0.45)
     answers = [
         call(site.instances[0], '/brisk/x', X_Kelproad_Deadline_Ms='1500')
         for _ in range(30)
@@ -231,7 +231,7 @@
     It may have run, so it is not sent again; but the silence counts as a
     failure of the endpoint, and later bookings go to the other one.
     """
-    site.break_endpoint(BOOK_ENDPOINTS[0], hang=True)
+    site.set_endpoint_faults(BOOK_ENDPOINTS[0], hang=True)
     answers = [
         call(
             site.instances[0],
@@ -253,10 +253,10 @@
 ) -> None:
     """An endpoint confuses answers; the caller gets a 502 instead."""
     for name in BOOK_ENDPOINTS:
-        site.break_endpoint(name, crossed=True)
+        site.set_endpoint_faults(name, crossed=True)
     answer = call(site.instances[0], '/bookings/x', 'POST', b'run 11')
     assert answer.status == 502
-    assert not answer.stamped
+    assert not answer.has_stamp
 
 
 # Streams
@@ -266,9 +266,9 @@
     """All events arrive once and in order, followed by a regular end."""
     answer = stream(site.instances[0])
     assert answer.status == 200
-    assert count_events(answer) == [1, 2, 3, 4, 5]
+    assert list_event_ids(answer) == [1, 2, 3, 4, 5]
     assert not answer.broken
-    assert answer.stamped
+    assert answer.has_stamp
 
 
 def test_a_broken_stream_is_resumed_at_another_engine(
@@ -280,9 +280,9 @@
     forwarded, and another engine continues after the second.
     """
     for name in ENGINES:
-        site.break_endpoint(name, break_after=2, events=4)
+        site.set_endpoint_faults(name, break_after=2, events=4)
     answer = stream(site.instances[0])
-    assert count_events(answer) == [1, 2, 3, 4]
+    assert list_event_ids(answer) == [1, 2, 3, 4]
     assert b'bro' not in answer.body
     assert not answer.broken
 
@@ -290,23 +290,23 @@
 def test_a_broken_stream_never_looks_complete(site: RoutedSite) -> None:
     """A stream that may not be resumed is aborted without a regular end."""
     for name in ENGINES:
-        site.break_endpoint(name, break_after=2)
+        site.set_endpoint_faults(name, break_after=2)
     answer = stream(site.instances[0], '/fragile/x')
     assert answer.broken
-    assert count_events(answer) == [1, 2]
+    assert list_event_ids(answer) == [1, 2]
     assert site.count_runs(answer.request_id) == 1
 
 
 def test_a_caller_resumes_a_stream(site: RoutedSite) -> None:
     """A caller that names its last event gets only those after it."""
     answer = stream(site.instances[0], Last_Event_Id='3')
-    assert count_events(answer) == [4, 5]
+    assert list_event_ids(answer) == [4, 5]
 
 
 def test_an_engine_stops_when_its_caller_leaves(site: RoutedSite) -> None:
     """A caller closes its connection; its engine must stop decoding."""
     for name in ENGINES:
-        site.break_endpoint(name, pace=0.2, events=50)
+        site.set_endpoint_faults(name, pace=0.2, events=50)
     request_id = next_id()
     connection = client.HTTPConnection(site.instances[0].caller)
     connection.request(
@@ -337,7 +337,7 @@
     """
     answer = stream(site.instances[0], tokens='400000,50')
     assert answer.status == 200
-    assert count_events(answer) == [1, 2, 3, 4, 5]
+    assert list_event_ids(answer) == [1, 2, 3, 4, 5]
     shown = [site.show_endpoint(name) for name in ENGINES]
     assert sum(item['orders'].get('reserve', 0) for item in shown) >= 1
     wait_for(
--- a/tests/ingress/test_fuzz.py
+++ b/tests/ingress/test_fuzz.py
@@ -15,7 +15,7 @@
 from kelproad.platform.rows import decode_configuration, decode_endpoint
 from kelproad.platform.settings import parse_node_settings
 from kelproad.protocol.events import SequenceError
-from kelproad.protocol.eventstreams import EventCutter
+from kelproad.protocol.eventstreams import EventSplitter
 from tests.ingress.test_exchange import Instance
 
 JSON = st.recursive(
@@ -126,14 +126,14 @@
         b'id: %d\ndata: piece %d\n\n' % (number, number)
         for number in range(1, events + 1)
     )
-    cutter = EventCutter()
+    cutter = EventSplitter()
     seen = []
     rest = stream
     for cut in (*cuts, len(stream)):
         seen += cutter.feed(rest[:cut])
         rest = rest[cut:]
     assert b''.join(event.encoded for event in seen) == stream
-    assert not cutter.within_event
+    assert not cutter.has_partial_event
 
 
 @given(st.lists(st.binary(max_size=30), max_size=10))
@@ -141,7 +141,7 @@
     chunks: list[bytes],
 ) -> None:
     """A corrupt stream raises ``SequenceError`` only: an endpoint's fault."""
-    cutter = EventCutter(3)
+    cutter = EventSplitter(3)
     with contextlib.suppress(SequenceError):
         for chunk in chunks:
             cutter.feed(chunk)
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize('after', [None, 2])
 def test_gaps_and_repetitions(after: int | None) -> None:
     """A missing event is an error; a repeated one is dropped."""
-    cutter = EventCutter(after)
+    cutter = EventSplitter(after)
     assert len(cutter.feed(b'id: 3\ndata: x\n\nid: 3\ndata: x\n\n')) == 1
     assert cutter.repeated == 1
     with pytest.raises(SequenceError):
--- a/tests/ingress/test_memory_site.py
+++ b/tests/ingress/test_memory_site.py
@@ -15,7 +15,7 @@
     start_routed_site,
     wait_for,
 )
-from tests.ingress.callers import count_events, stream
+from tests.ingress.callers import list_event_ids, stream
 
 ENGINES = ('engine-1', 'engine-2', 'engine-3')
 #: Maximum seconds for which unused memory may stay reserved.
@@ -32,7 +32,7 @@
     """Start a site of one instance; its engines take two seconds per event."""
     with start_routed_site(tmp_path_factory.mktemp('site'), 1) as running:
         for name in ENGINES:
-            running.break_endpoint(name, pace=2)
+            running.set_endpoint_faults(name, pace=2)
         yield running
 
 
@@ -106,7 +106,7 @@
         )
         assert time.monotonic() - frozen_at < FREE_SECONDS
     finally:
-        frozen.wake()
+        frozen.resume()
 
 
 def test_memory_is_released_after_the_last_event(site: RoutedSite) -> None:
@@ -116,14 +116,14 @@
     stays full for 2.5 s although its memory is unused.
     """
     for name in ENGINES:
-        site.break_endpoint(name)
+        site.set_endpoint_faults(name)
     for _ in range(ROUNDS):
         answer = stream(
             site.instances[0],
             tokens=LARGE,
             X_Kelproad_Deadline_Ms='9000',
         )
-        assert count_events(answer) == [1, 2, 3, 4, 5]
+        assert list_event_ids(answer) == [1, 2, 3, 4, 5]
         time.sleep(RELEASED_SECONDS)
         assert not list_tickets(site)
 
@@ -134,7 +134,7 @@
     A reservation that lapses meanwhile would abort the stream.
     """
     for name in ENGINES:
-        site.break_endpoint(name, pace=0.8)
+        site.set_endpoint_faults(name, pace=0.8)
     results: list[object] = []
     thread = threading.Thread(
         target=lambda: results.append(
@@ -151,5 +151,5 @@
         held = list_tickets(site)
         thread.join(0.1)
         assert held or not thread.is_alive()
-    assert count_events(results[0]) == [1, 2, 3, 4, 5]
+    assert list_event_ids(results[0]) == [1, 2, 3, 4, 5]
     wait_for(lambda: not list_tickets(site), 'memory is free')
--- a/tests/ingress/test_placing.py
+++ b/tests/ingress/test_placing.py
@@ -306,7 +306,7 @@
             name: build(name).endpoint for name in self.emulation.engines
         }
         self.held: dict[int, list[tuple[str, EndpointWork]]] = {}
-        self.emulation.on_first = self._end_prefill
+        self.emulation.on_first_event = self._end_prefill
         self.emulation.on_end = self._end
         self.prefills: dict[int, list[tuple[str, EndpointWork]]] = {}
 
--- a/tests/ingress/test_soak_checks.py
+++ b/tests/ingress/test_soak_checks.py
@@ -3,7 +3,7 @@
 import attrs
 import pytest
 
-from testbed.soak.routed_callers import RoutedTold
+from testbed.soak.routed_callers import CallRecord
 from testbed.soak.routed_checks import check_calls
 from testbed.soak.routed_faults import Span
 from testbed.soak.routed_stops import PlannedStop
@@ -35,9 +35,9 @@
 
     spans: list[Span] = attrs.field(factory=list)
     stops: list[PlannedStop] = attrs.field(factory=lambda: [STOP])
-    given_at: dict[str, float] = attrs.field(factory=dict)
+    issued_at: dict[str, float] = attrs.field(factory=dict)
     revoked_at: dict[str, float] = attrs.field(factory=dict)
-    forgotten_runs: dict[str, list[dict[str, str]]] = attrs.field(
+    lost_runs: dict[str, list[dict[str, str]]] = attrs.field(
         factory=dict,
     )
 
@@ -52,7 +52,7 @@
     **meanwhile: object,
 ) -> list[str]:
     """Check a call, truncated unless ``whole``; times are since SIGTERM."""
-    outcome = RoutedTold(
+    outcome = CallRecord(
         'a',
         'reports',
         'key',
@@ -162,7 +162,7 @@
 def test_runs_of_killed_endpoints_count() -> None:
     """A call without an answer ran at an engine that was killed later."""
     forgotten = {'engine-2': [{'X-Kelproad-Request-Id': 'a'}]}
-    found = find_one(ran_at='', status=0, forgotten_runs=forgotten)
+    found = find_one(ran_at='', status=0, lost_runs=forgotten)
     assert 'after SIGTERM' in found
 
 
--- a/tests/ingress/test_stops.py
+++ b/tests/ingress/test_stops.py
@@ -147,7 +147,7 @@
     reported that the booking may have run.
     """
     for name in ('book-1', 'book-2'):
-        site.break_endpoint(name, hang=True)
+        site.set_endpoint_faults(name, hang=True)
     instance = site.instances[0]
     instance.process.send_signal(signal.SIGTERM)
     with ThreadPoolExecutor() as callers:
--- a/tests/ingress/test_stops_site.py
+++ b/tests/ingress/test_stops_site.py
@@ -21,10 +21,10 @@
 from tests.ingress.callers import (
     Answer,
     call,
-    count_events,
+    list_event_ids,
     make_headers,
     next_id,
-    run_aside,
+    run_in_thread,
     stream,
 )
 
@@ -71,8 +71,8 @@
 ) -> threading.Thread:
     """Stop an instance while it forwards a stream of 4.5 s."""
     for name in ENGINES:
-        site.break_endpoint(name, pace=0.9, events=5)
-    thread = run_aside(
+        site.set_endpoint_faults(name, pace=0.9, events=5)
+    thread = run_in_thread(
         lambda: stream(instance, X_Kelproad_Deadline_Ms='9000'),
         results,
     )
@@ -89,9 +89,9 @@
     """
     instance = site.instances[0]
     for name in ENGINES:
-        site.break_endpoint(name, pace=0.4, events=6)
+        site.set_endpoint_faults(name, pace=0.4, events=6)
     results: list[Answer] = []
-    thread = run_aside(lambda: stream(instance), results)
+    thread = run_in_thread(lambda: stream(instance), results)
     time.sleep(0.5)
     instance.process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
@@ -101,7 +101,7 @@
     assert late.status == 200
     assert late.headers['Connection'] == 'close'
     thread.join()
-    assert count_events(results[0]) == [1, 2, 3, 4, 5, 6]
+    assert list_event_ids(results[0]) == [1, 2, 3, 4, 5, 6]
     assert not results[0].broken
     assert instance.process.wait(8) == 0
 
@@ -124,7 +124,7 @@
     assert site.count_runs(late.request_id) == 0
     assert call(instance, '/open/x').status == 200
     thread.join()
-    assert count_events(results[0]) == [1, 2, 3, 4, 5]
+    assert list_event_ids(results[0]) == [1, 2, 3, 4, 5]
     assert instance.process.wait(8) == 0
 
 
@@ -151,7 +151,7 @@
     brief = stream(instance, X_Kelproad_Deadline_Ms='2500')
     assert brief.status == 200
     thread.join()
-    assert count_events(results[0]) == [1, 2, 3, 4, 5]
+    assert list_event_ids(results[0]) == [1, 2, 3, 4, 5]
     assert instance.process.wait(8) == 0
 
 
@@ -171,12 +171,12 @@
     instance = site.instances[0]
     wait_for(lambda: call(instance, '/entries/x').status == 200, 'the route')
     for name in site.endpoints:
-        site.break_endpoint(name, hang=True)
+        site.set_endpoint_faults(name, hang=True)
     deadline = {'X_Kelproad_Deadline_Ms': '15000'}
     sent: list[Answer] = []
     threads = (
-        run_aside(lambda: call(instance, '/entries/x', **deadline), sent),
-        run_aside(lambda: stream(instance, '/prose/x', **deadline), sent),
+        run_in_thread(lambda: call(instance, '/entries/x', **deadline), sent),
+        run_in_thread(lambda: stream(instance, '/prose/x', **deadline), sent),
     )
     head = ''.join(
         f'{name}: {text}\r\n'
@@ -209,17 +209,17 @@
     """
     instance = site.instances[0]
     for name in ENGINES:
-        site.break_endpoint(name, hang=True)
+        site.set_endpoint_faults(name, hang=True)
     results: list[Answer] = []
     instance.process.send_signal(signal.SIGTERM)
     time.sleep(2.2)
-    thread = run_aside(
+    thread = run_in_thread(
         lambda: stream(instance, X_Kelproad_Deadline_Ms='9000'),
         results,
     )
     time.sleep(0.6)
     for name in ENGINES:
-        site.break_endpoint(name, pace=0.9, events=5)
+        site.set_endpoint_faults(name, pace=0.9, events=5)
     thread.join()
     answer = results[0]
     assert not answer.broken
@@ -247,9 +247,9 @@
     site.put_configuration(entries={**long, 'service': 'book'})
     wait_for(lambda: call(instance, '/entries/x').status == 200, 'the route')
     for name in site.endpoints:
-        site.break_endpoint(name, hang=True)
+        site.set_endpoint_faults(name, hang=True)
     results: list[Answer] = []
-    thread = run_aside(
+    thread = run_in_thread(
         lambda: call(instance, '/entries/x', X_Kelproad_Deadline_Ms='15000'),
         results,
     )
@@ -332,9 +332,9 @@
     instance = site.instances[0]
     wait_for(lambda: stream(instance, '/long/x').status == 200, 'the route')
     for name in ENGINES:
-        site.break_endpoint(name, pace=0.9, events=12)
+        site.set_endpoint_faults(name, pace=0.9, events=12)
     results: list[Answer] = []
-    thread = run_aside(
+    thread = run_in_thread(
         lambda: stream(instance, '/long/x', X_Kelproad_Deadline_Ms='15000'),
         results,
     )
--- a/tests/ingress/test_store_site.py
+++ b/tests/ingress/test_store_site.py
@@ -78,7 +78,7 @@
     that the balancer sends calls elsewhere.
     """
     instance = site.instances[0]
-    site.break_store(hang=True)
+    site.set_store_faults(hang=True)
     began = time.monotonic()
     wait_for(
         lambda: call(instance, '/lookups/x').status == 503,
@@ -89,7 +89,7 @@
     with pytest.raises(CallError) as unready:
         call_control(instance.ready, 'GET', '/-/readyz')
     assert unready.value.status == 503
-    site.break_store()
+    site.set_store_faults()
     wait_for(
         lambda: call(instance, '/lookups/x').status == 200,
         'keys are trusted again',
@@ -104,7 +104,7 @@
     A 404 would be final for the caller; a 503 lets it retry.
     """
     instance = site.instances[0]
-    site.break_store(status=503)
+    site.set_store_faults(status=503)
     time.sleep(2.5)
     assert call(instance, '/added/x').status == 503
 
@@ -114,10 +114,10 @@
 
     The instance is notified of the loss and reads the full tables.
     """
-    site.break_store(status=503)
+    site.set_store_faults(status=503)
     site.put_configuration(added={'service': 'book', 'anonymous': True})
     call_control(site.store, 'POST', '/control/forget')
-    site.break_store()
+    site.set_store_faults()
     wait_for(
         lambda: call(site.instances[0], '/added/x').status == 200,
         'the change',
@@ -126,7 +126,7 @@
 
 def test_a_draining_endpoint_gets_no_calls(site: RoutedSite) -> None:
     """An endpoint reports its drain; two seconds later no call reaches it."""
-    site.list_endpoint('book-1', 'book', state='draining')
+    site.put_endpoint_row('book-1', 'book', state='draining')
     time.sleep(2)
     before = len(site.show_endpoint('book-1')['runs'])
     for _ in range(10):
@@ -159,14 +159,14 @@
     return; calls in between must not be refused for lack of endpoints.
     """
     instance = site.instances[0]
-    site.break_store(status=503)
+    site.set_store_faults(status=503)
     time.sleep(0.5)
     for name in BOOKS:
-        site.drop_endpoint(name)
-    site.break_store()
+        site.delete_endpoint_row(name)
+    site.set_store_faults()
     wait_for(lambda: instance.dump()['endpoint_age'] < 1, 'the store is back')
     assert call(instance, '/open/x').status == 200
-    site.list_endpoint('book-1', 'book')
+    site.put_endpoint_row('book-1', 'book')
     time.sleep(2.5)
     assert call(instance, '/open/x').status == 200
     # The other one did not register again, so it is removed.
@@ -188,7 +188,7 @@
     instance = site.instances[0]
     wait_for(lambda: call(instance, '/quick/x').status == 200, 'the route')
     for name in BOOKS:
-        site.break_endpoint(name, hang=True)
+        site.set_endpoint_faults(name, hang=True)
     answer = call(instance, '/quick/x', 'POST', b'x')
     assert answer.status == 504
     assert TIMEOUT - SLACK < answer.seconds < TIMEOUT + SLACK
--- a/tests/ingress/test_watching.py
+++ b/tests/ingress/test_watching.py
@@ -70,7 +70,7 @@
 
     def note(self, seconds: float) -> None:
         """Record a stall of a stream of the engine."""
-        self.monitor.record_stall('writer', self.endpoint, seconds)
+        self.monitor.check_stall('writer', self.endpoint, seconds)
 
     def find_slowdown(self) -> float:
         """Return the known slowdown of the engine."""
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -14,9 +14,9 @@
 from tests.engines import (
     OpenStream,
     list_engines,
-    set_engines,
+    set_engine_faults,
     wait_until_confirmed,
-    wait_until_free,
+    wait_until_released,
 )
 
 TOKENS = 12
@@ -41,10 +41,10 @@
 
 @pytest.fixture(autouse=True)
 def healthy_engines(site: Site) -> Iterator[None]:
-    set_engines(site)
+    set_engine_faults(site)
     yield
-    set_engines(site)
-    assert wait_until_free(site, FREE_TIMEOUT) == {}
+    set_engine_faults(site)
+    assert wait_until_released(site, FREE_TIMEOUT) == {}
     assert not wait_until_confirmed(site, FREE_TIMEOUT)
 
 
@@ -80,7 +80,7 @@
     A connection that closes cleanly in mid-answer does not count as the end
     of the answer.  The caller gets each token of its own answer once.
     """
-    set_engines(site, **faults)
+    set_engine_faults(site, **faults)
     for prompt in ('first', 'second'):
         stream = complete_streaming(site, prompt)
         assert stream.text == compose_answer(prompt, TOKENS)
@@ -108,7 +108,7 @@
     answer is sampled at random, so no other engine can continue it.  The
     caller sees an error event, no [DONE], and an incomplete HTTP body.
     """
-    set_engines(site, **faults)
+    set_engine_faults(site, **faults)
     stream = complete_streaming(site, 'broken')
     whole = compose_answer('broken', TOKENS)
     assert stream.text and whole.startswith(stream.text)
@@ -128,7 +128,7 @@
     At temperature 0 the rest is determined by the text so far, so another
     engine continues it.  The caller sees one answer without gap or repetition.
     """
-    set_engines(site, list_engines(site)[:2], **faults)
+    set_engine_faults(site, list_engines(site)[:2], **faults)
     for number in range(3):
         prompt = f'continued {number}'
         stream = complete_streaming(site, prompt, temperature=0)
@@ -151,7 +151,7 @@
     of the model) is generated again from the start on another engine, also
     if it is sampled at random.
     """
-    set_engines(site, list_engines(site)[:2], **faults)
+    set_engine_faults(site, list_engines(site)[:2], **faults)
     for number in range(2):
         prompt = f'whole {number}'
         answer = complete(
@@ -167,7 +167,7 @@
 
 def test_chat_answer_is_continued(site: Site) -> None:
     """A chat answer is continued, as seen by the published OpenAI client."""
-    set_engines(site, list_engines(site)[:2], skipped=4)
+    set_engine_faults(site, list_engines(site)[:2], skipped=4)
     client = openai.OpenAI(
         api_key=KEY,
         base_url=f'http://{site.callers[0]}/v1',
@@ -192,7 +192,7 @@
     It must raise instead of ending as if the answer were short, for a stream
     and for a JSON answer.
     """
-    set_engines(site, skipped=4)
+    set_engine_faults(site, skipped=4)
     client = openai.OpenAI(
         api_key=KEY,
         base_url=f'http://{site.callers[0]}/v1',
@@ -219,7 +219,7 @@
     another engine well before the caller's deadline of 30 seconds.
     """
     prompt = f'frozen after {events}'
-    set_engines(site, slowness=20.0 if events else 1.0)
+    set_engine_faults(site, slowness=20.0 if events else 1.0)
     frozen = [] if events else list_engines(site)[:2]
     for name in frozen:
         site.endpoints[name].freeze()
@@ -242,12 +242,12 @@
         assert time.monotonic() - started < 25
     finally:
         for name in frozen:
-            site.endpoints[name].wake()
+            site.endpoints[name].resume()
 
 
 def test_greedy_answer_survives_a_killed_engine(site: Site) -> None:
     """An engine is killed in mid-answer; another one continues the answer."""
-    set_engines(site, slowness=20.0)
+    set_engine_faults(site, slowness=20.0)
     stream = OpenStream(
         site.callers[0], 'dead', max_tokens=TOKENS, temperature=0
     )
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -7,14 +7,17 @@
 import pytest
 
 from bench.figures import Bound, Case, check_bounds
-from kelproad.cli.loadgen import Plan, draw_arrivals
-from kelproad.cli.loadreport import Sample
+from kelproad.cli.loadgen import LoadPlan, generate_arrivals
+from kelproad.cli.loadreport import FirstTokenSample
 
 
 def test_slowdown_compares_short_prompts_with_and_without_long_ones() -> None:
     case = Case('p', outcomes={'answered': 2}, dispatched=3)
-    case.alone = [Sample(2_000, 0.1, 0)]
-    case.mixed = [Sample(2_000, 0.3, 0), Sample(200_000, 9, 0)]
+    case.alone = [FirstTokenSample(2_000, 0.1, 0)]
+    case.mixed = [
+        FirstTokenSample(2_000, 0.3, 0),
+        FirstTokenSample(200_000, 9, 0),
+    ]
     fields = case.to_fields()
     assert fields['slowdown_p50'] == pytest.approx(3)
     assert fields['first_token_100k_p95'] == pytest.approx(9)
@@ -41,9 +44,9 @@
 
 
 def test_load_has_the_same_short_prompts_with_and_without_long_ones() -> None:
-    plan = Plan(['a', 'b'], 'k', 'm', 2_000, 5, 1, 900_000, 20, ['l'])
-    mixed = list(draw_arrivals(plan))
-    alone = list(draw_arrivals(attrs.evolve(plan, shorter_than=10_000)))
+    plan = LoadPlan(['a', 'b'], 'k', 'm', 2_000, 5, 1, 900_000, 20, ['l'])
+    mixed = list(generate_arrivals(plan))
+    alone = list(generate_arrivals(attrs.evolve(plan, shorter_than=10_000)))
     assert alone == [a for a in mixed if a.prompt_tokens < 10_000]
     long_share = sum(a.prompt_tokens > 100_000 for a in mixed) / len(mixed)
     assert 100 * long_share == pytest.approx(2, abs=1)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -91,7 +91,7 @@
     text = raw
     if isinstance(raw, bytes):
         text = raw.decode('utf-8', 'surrogateescape')
-    parsed = callers.parse_key(text)
+    parsed = callers.parse_idempotency_key(text)
     if isinstance(parsed, Success):
         assert msgspec.json.decode(msgspec.json.encode(text)) == text
         assert 1 <= len(text) <= callers.MAX_KEY_LENGTH
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -44,7 +44,7 @@
     shared.network.heal()
     for instance in shared.instances:
         if instance.process.running:
-            instance.process.wake()
+            instance.process.resume()
         else:
             shared.start_instance(instance)
     shared.wait_ready()
@@ -236,7 +236,7 @@
     time.sleep(2)
     later = book(site.callers[1], 'frozen', 'frozen')
     assert later.refusal()['code'] == 'outcome_unknown'
-    owner.wake()
+    owner.resume()
     assert call.result().refusal()['ran'] == 'no'
     assert count_effects(site, 'frozen') == 0
     wait_for(lambda: book(site.callers[1], 'frozen', 'frozen').status == 200)
@@ -312,7 +312,7 @@
     headers = {'Idempotency-Key': 'frozen-prompt', 'X-Deadline-Seconds': '1'}
     first = complete(site.callers[0], headers=headers)
     for engine in engines:
-        engine.wake()
+        engine.resume()
     assert (first.status, first.refusal()['ran']) == (504, 'unknown')
     for caller in site.callers:
         again = complete(caller, headers=headers)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -22,11 +22,18 @@
 from kelproad.state.members import Member, MemberTable
 from kelproad.state.problems import Problem
 from kelproad.state.refusals import RefusalCode
-from tests.fakes import Bench, JitteryPlatform, Peer, declare
+from tests.fakes import (
+    ConfigurationSite,
+    JitteryPlatform,
+    Peer,
+    render_workspace_file,
+)
 
 
 @pytest.mark.parametrize('seed', range(5))
-async def test_two_operators_from_one_base(bench: Bench, seed: int) -> None:
+async def test_two_operators_from_one_base(
+    bench: ConfigurationSite, seed: int
+) -> None:
     """Two operators edit generation 1 and apply through two instances.
 
     The one that commits second must not overwrite the first one's change: it
@@ -34,10 +41,12 @@
     """
     JitteryPlatform.generator = random.Random(seed)
     first, second = bench.create_peer('i-1'), bench.create_peer('i-2')
-    assert isinstance(await first.apply(declare(1), 0, 'base'), Success)
+    assert isinstance(
+        await first.apply(render_workspace_file(1), 0, 'base'), Success
+    )
     outcomes = await asyncio.gather(
-        first.apply(declare(2), 1, 'one'),
-        second.apply(declare(3), 1, 'two'),
+        first.apply(render_workspace_file(2), 1, 'one'),
+        second.apply(render_workspace_file(3), 1, 'two'),
     )
     won = [item.unwrap() for item in outcomes if isinstance(item, Success)]
     lost = [item.failure() for item in outcomes if isinstance(item, Failure)]
@@ -54,7 +63,7 @@
 
 @pytest.mark.parametrize('seed', range(4))
 async def test_operators_of_different_files_do_not_conflict(
-    bench: Bench,
+    bench: ConfigurationSite,
     seed: int,
 ) -> None:
     """Four operators apply four new files at the same time.
@@ -66,7 +75,9 @@
     peers = [bench.create_peer(f'i-{number}') for number in range(4)]
     outcomes = await asyncio.gather(
         *(
-            peer.apply(declare(1, peer.name, peer.name), 0, peer.name)
+            peer.apply(
+                render_workspace_file(1, peer.name, peer.name), 0, peer.name
+            )
             for peer in peers
         ),
     )
@@ -74,7 +85,7 @@
     assert revisions == [1, 2, 3, 4]
 
 
-async def test_answer_lost_after_commit(bench: Bench) -> None:
+async def test_answer_lost_after_commit(bench: ConfigurationSite) -> None:
     """The platform commits an apply, but its answer is lost.
 
     A lookup by the apply id shows that it was accepted, and repeating it
@@ -82,16 +93,22 @@
     """
     peer = bench.create_peer('i-1')
     bench.standin.faults = Faults(lose_answers=1, only='/tables')
-    assert await peer.apply(declare(1), 0, 'a') == Success(Accepted('f', 1, 1))
-    await peer.apply(declare(2), 1, 'b')
-    assert await peer.apply(declare(1), 0, 'a') == Success(Accepted('f', 1, 1))
-    reused = (await peer.apply(declare(9), 2, 'a')).failure()
+    assert await peer.apply(render_workspace_file(1), 0, 'a') == Success(
+        Accepted('f', 1, 1)
+    )
+    await peer.apply(render_workspace_file(2), 1, 'b')
+    assert await peer.apply(render_workspace_file(1), 0, 'a') == Success(
+        Accepted('f', 1, 1)
+    )
+    reused = (await peer.apply(render_workspace_file(9), 2, 'a')).failure()
     assert reused.code is RefusalCode.CONFLICT
     assert peer.snapshot.workspaces['w'].weight == 2
 
 
 @pytest.mark.parametrize('is_overtaken', [True, False])
-async def test_delayed_write(bench: Bench, is_overtaken: bool) -> None:
+async def test_delayed_write(
+    bench: ConfigurationSite, is_overtaken: bool
+) -> None:
     """An apply's connection breaks and its write takes effect 0.3 s later.
 
     Meanwhile the operator is told that the outcome is unknown.  If another
@@ -100,14 +117,16 @@
     """
     peer = bench.create_peer('i-1')
     bench.standin.faults = Faults(late_writes=1, only='/tables')
-    unknown = (await peer.apply(declare(1), 0, 'late')).failure()
+    unknown = (await peer.apply(render_workspace_file(1), 0, 'late')).failure()
     assert unknown.code is RefusalCode.OUTCOME_UNKNOWN
     if is_overtaken:
-        assert isinstance(await peer.apply(declare(5), 0, 'b'), Success)
+        assert isinstance(
+            await peer.apply(render_workspace_file(5), 0, 'b'), Success
+        )
     await asyncio.sleep(0.5)
     found = await find_apply(peer.writer.platform, 'late')
     assert (found.unwrap() is None) is is_overtaken
-    repeated = await peer.apply(declare(1), 0, 'late')
+    repeated = await peer.apply(render_workspace_file(1), 0, 'late')
     if is_overtaken:
         assert isinstance(repeated.failure(), EditConflict)
     else:
@@ -116,22 +135,26 @@
     assert len(rows.unwrap()) == 1
 
 
-async def test_store_down(bench: Bench) -> None:
+async def test_store_down(bench: ConfigurationSite) -> None:
     """The store is down while an operator applies.
 
     The refusal states that this attempt applied nothing, and nothing was.
     """
     peer = bench.create_peer('i-1')
     bench.standin.faults = Faults(down=True)
-    refused = (await peer.apply(declare(1), 0, 'a')).failure()
+    refused = (await peer.apply(render_workspace_file(1), 0, 'a')).failure()
     assert refused.code is RefusalCode.UNAVAILABLE
     assert peer.follower.fault == '' and peer.snapshot.revision == 0
     bench.standin.faults = Faults()
-    assert isinstance(await peer.apply(declare(1), 0, 'a'), Success)
+    assert isinstance(
+        await peer.apply(render_workspace_file(1), 0, 'a'), Success
+    )
 
 
 @pytest.mark.parametrize('seed', range(3))
-async def test_revisions_never_go_back(bench: Bench, seed: int) -> None:
+async def test_revisions_never_go_back(
+    bench: ConfigurationSite, seed: int
+) -> None:
     """Instances get late messages and slow replies; one is restarted.
 
     Changes are delayed, duplicated, split and delivered in any order to
@@ -149,7 +172,7 @@
     for step in range(20):
         file = generator.choice('fghklm')
         base = writer.snapshot.accepted_generation(file)
-        text = declare(step + 1, file, file)
+        text = render_workspace_file(step + 1, file, file)
         await writer.apply(text, base, f'{step}')
         accepted_files[step + 1] = writer.snapshot.files
         for peer in peers:
@@ -179,7 +202,9 @@
         assert peer.snapshot.revision >= before
 
 
-async def test_large_transfer_while_its_source_changes(bench: Bench) -> None:
+async def test_large_transfer_while_its_source_changes(
+    bench: ConfigurationSite,
+) -> None:
     """A new instance gets forty files from a peer, a few per message.
 
     Half-way, the source accepts a new version of a file that it has already
@@ -188,13 +213,13 @@
     writer, joining = bench.create_peer('writer'), bench.create_peer('fresh')
     for number in range(40):
         name = f'f{number}'
-        await writer.apply(declare(1, name, name), 0, name)
+        await writer.apply(render_workspace_file(1, name, name), 0, name)
     joining.follower.observe_member(Member('writer', 'a', 'writer', 1, 1, 40))
     answers = 0
     while joining.asked:
         wanted = joining.asked.pop()
         if answers == 3:
-            await writer.apply(declare(7, 'f0', 'f0'), 1, 'again')
+            await writer.apply(render_workspace_file(7, 'f0', 'f0'), 1, 'again')
         answers += 1
         changes = list_changes(
             writer.snapshot, writer.settings, wanted.after, 500
@@ -205,7 +230,9 @@
     assert joining.snapshot.workspaces['f0'].weight == 7
 
 
-async def test_transfer_continued_by_a_peer_that_lags(bench: Bench) -> None:
+async def test_transfer_continued_by_a_peer_that_lags(
+    bench: ConfigurationSite,
+) -> None:
     """A transfer's second message comes from a peer that is behind the first.
 
     The first sender orders files by revision, so one that just changed comes
@@ -215,9 +242,9 @@
     writer, joining = bench.create_peer('writer'), bench.create_peer('fresh')
     for number in range(10):
         name = f'f{number}'
-        await writer.apply(declare(1, name, name), 0, name)
+        await writer.apply(render_workspace_file(1, name, name), 0, name)
     behind = writer.snapshot
-    await writer.apply(declare(2, 'f0', 'f0'), 1, 'again')
+    await writer.apply(render_workspace_file(2, 'f0', 'f0'), 1, 'again')
     settings = writer.settings
     first = list_changes(writer.snapshot, settings, 0, limit=300)
     await joining.follower.accept_changes(first)
@@ -230,28 +257,32 @@
 
 
 @pytest.mark.parametrize('damage', [b'name: f', b'\xff', None])
-async def test_damaged_object(bench: Bench, damage: bytes | None) -> None:
+async def test_damaged_object(
+    bench: ConfigurationSite, damage: bytes | None
+) -> None:
     """The stored object of an accepted file is damaged or missing.
 
     The file must not come into force, but files accepted later do.  It is
     listed as pending, and comes into force once the object is repaired.
     """
     writer, other = bench.create_peer('writer'), bench.create_peer('i-1')
-    await writer.apply(declare(1), 0, 'a')
+    await writer.apply(render_workspace_file(1), 0, 'a')
     await other.follower.catch_up()
-    await writer.apply(declare(2), 1, 'b')
+    await writer.apply(render_workspace_file(2), 1, 'b')
     key = f'configuration/{writer.snapshot.files["f"].digest}'
     blobs = bench.standin._blobs
     intact = blobs.pop(key)
     if damage is not None:
         blobs[key] = damage
-    await writer.apply(declare(1, 'x', 'g'), 0, 'c')
+    await writer.apply(render_workspace_file(1, 'x', 'g'), 0, 'c')
     await other.follower.catch_up()
     assert other.snapshot.revision == 3
     assert other.snapshot.workspaces['w'].weight == 1
     assert 'x' in other.snapshot.workspaces
     assert other.snapshot.pending['f'].generation == 2
-    refused = (await other.apply(declare(3, 'x', 'g'), 1, 'd')).failure()
+    refused = (
+        await other.apply(render_workspace_file(3, 'x', 'g'), 1, 'd')
+    ).failure()
     assert refused.code is RefusalCode.CONFLICT
     blobs[key] = intact
     await other.follower.catch_up()
@@ -259,10 +290,10 @@
     assert other.snapshot.workspaces['w'].weight == 2
 
 
-async def test_file_of_a_newer_version(bench: Bench) -> None:
+async def test_file_of_a_newer_version(bench: ConfigurationSite) -> None:
     """A file has a key that only a newer version of the program knows."""
     writer, other = bench.create_peer('writer'), bench.create_peer('i-1')
-    await writer.apply(declare(1), 0, 'a')
+    await writer.apply(render_workspace_file(1), 0, 'a')
     newest = list_changes(writer.snapshot, writer.settings, 0)
     text = 'name: f\nfuture: 1\n'
     digest = '30e9a5d1a5'
@@ -278,17 +309,19 @@
 
 
 @pytest.mark.parametrize('body', ['{"name": 1}', 'x', None])
-async def test_damaged_history(bench: Bench, body: str | None) -> None:
+async def test_damaged_history(
+    bench: ConfigurationSite, body: str | None
+) -> None:
     """A row of the history is unreadable or missing.
 
     The instance keeps its configuration, reports the fault, and catches up
     once the row is repaired; an exception would end its reading for good.
     """
     writer, other = bench.create_peer('writer'), bench.create_peer('i-1')
-    await writer.apply(declare(1), 0, 'a')
+    await writer.apply(render_workspace_file(1), 0, 'a')
     await other.follower.catch_up()
-    await writer.apply(declare(2), 1, 'b')
-    await writer.apply(declare(3), 2, 'c')
+    await writer.apply(render_workspace_file(2), 1, 'b')
+    await writer.apply(render_workspace_file(3), 2, 'c')
     rows = bench.standin._tables['configuration-history']
     key, intact = list(rows.items())[1]
     rows.pop(key)
@@ -303,18 +336,18 @@
     assert not other.follower.fault
 
 
-async def test_catching_up_on_many_changes(bench: Bench) -> None:
+async def test_catching_up_on_many_changes(bench: ConfigurationSite) -> None:
     """An instance that missed 230 changes adopts them all in one read."""
     writer, other = bench.create_peer('writer', 0), bench.create_peer('i-1')
-    await writer.apply(declare(1), 0, 'first')
+    await writer.apply(render_workspace_file(1), 0, 'first')
     await other.follower.catch_up()
     for number in range(1, 231):
-        await writer.apply(declare(number), number, f'{number}')
+        await writer.apply(render_workspace_file(number), number, f'{number}')
     await other.follower.catch_up()
     assert other.snapshot.revision == 231
 
 
-async def test_removal_and_references(bench: Bench) -> None:
+async def test_removal_and_references(bench: ConfigurationSite) -> None:
     """A file that another one refers to cannot be removed.
 
     The problem names the line of the reference.  Without references the file
--- a/tests/test_configuration_site.py
+++ b/tests/test_configuration_site.py
@@ -80,7 +80,7 @@
 def check_not_adopted(site: Site, monkeypatch: pytest.MonkeyPatch) -> None:
     """Check that an instance still lacks an accepted file after a wait."""
     with monkeypatch.context() as patched:
-        patched.setattr(sites, '_ADOPT_SECONDS', NO_ADOPTION_SECONDS)
+        patched.setattr(sites, '_ADOPT_TIMEOUT', NO_ADOPTION_SECONDS)
         with pytest.raises(TimeoutError):
             site.wait_adopted()
 
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -21,7 +21,7 @@
 from kelproad.state.members import MemberTable
 from kelproad.state.refusals import Refusal, RefusalCode
 from kelproad.transport.deadlines import monotonic
-from tests.fakes import Bench, Peer
+from tests.fakes import ConfigurationSite, Peer
 
 KEY = 'key-of-a-late-workspace'
 DEADLINE = 10.0
@@ -54,7 +54,7 @@
 
 
 @pytest.fixture
-async def lagging(bench: Bench) -> Peer:
+async def lagging(bench: ConfigurationSite) -> Peer:
     """Return an instance that has only the first of two accepted files."""
     writer, reader = bench.create_peer('writer'), bench.create_peer('reader')
     await apply(writer, 'first', digest_key('another'))
@@ -79,7 +79,7 @@
 
 
 async def test_unreachable_store(
-    bench: Bench,
+    bench: ConfigurationSite,
     lagging: Peer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -96,7 +96,7 @@
 
 
 async def test_stop_ends_the_wait_for_the_store(
-    bench: Bench,
+    bench: ConfigurationSite,
     lagging: Peer,
 ) -> None:
     """Guards against a stop that drops calls that wait for the store."""
--- a/tests/test_continuations.py
+++ b/tests/test_continuations.py
@@ -70,10 +70,12 @@
         'a',
         raw_fields(id='first', system_fingerprint='one'),
     )
-    adapted = continuation.adapt(encode(id='other', system_fingerprint='one'))
+    adapted = continuation.rewrite_event(
+        encode(id='other', system_fingerprint='one')
+    )
     assert json.loads(adapted)['id'] == 'first'
     with pytest.raises(ContinuationError):
-        continuation.adapt(encode(id='other', system_fingerprint='two'))
+        continuation.rewrite_event(encode(id='other', system_fingerprint='two'))
 
 
 def test_nothing_follows_the_terminal_event() -> None:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -35,7 +35,7 @@
             endpoint.freeze()
         yield started
         for endpoint in started.endpoints.values():
-            endpoint.wake()
+            endpoint.resume()
 
 
 def time_call(make_call: Callable[[], Answer]) -> tuple[Answer, float]:
--- a/tests/test_members_site.py
+++ b/tests/test_members_site.py
@@ -60,7 +60,7 @@
         frozen = site.instances[0]
         frozen.process.freeze()
         _wait_for_view(site, every - {frozen.name})
-        frozen.process.wake()
+        frozen.process.resume()
         _wait_for_view(site, every)
         killed = {site.instances[1].name, site.instances[2].name}
         for number in (1, 2):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from kelproad.state.members import REMOVE_AFTER
 from testbed.members import Conditions, MemberSite
 
-LOSSY = Conditions(loss=0.05, doubling=0.05, delay=0.005, jitter=0.3)
+LOSSY = Conditions(loss=0.05, duplication=0.05, delay=0.005, jitter=0.3)
 _JOIN_SECONDS = 8
 #: Seconds for which heartbeats of a dead instance may be forwarded.
 _SPREAD_SECONDS = 5
@@ -48,7 +48,7 @@
         item.members.cross_zone_interval for item in site.running()
     )
     await site.run(REMOVE_AFTER * (interval_factor - 1))
-    assert site.count_ghosts() == 0
+    assert site.count_stale() == 0
     assert site.count_missing() == 0
 
 
@@ -99,7 +99,7 @@
     await site.run(30)
     assert all(frozen.name not in site.see(item) for item in site.running())
     frozen.inbox.clear()
-    await site.wake(frozen)
+    await site.resume(frozen)
     await site.run(0.01)
     assert len(site.see(frozen)) == 8
     await site.run(4)
@@ -139,7 +139,7 @@
     leaving.membership.leave()
     leaving.running = False
     await site.run(0.1)
-    assert site.count_ghosts() == 0
+    assert site.count_stale() == 0
 
 
 @pytest.mark.parametrize('size', [9, 24, 48])
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -13,14 +13,14 @@
 from kelproad.coordination import failures, leases, orders, rollout
 from kelproad.coordination.orders import OrderController
 from kelproad.protocol.orders import OrderClient, OrderOutcome
-from kelproad.standins.orders import OrderedModels, skip_weights
+from kelproad.standins.orders import ManagedModels, skip_weights
 from kelproad.standins.platform import Faults
 from kelproad.state.declarations import Fencing
 from kelproad.state.endpoints import EndpointTable
 from kelproad.state.identity import Identity
 from kelproad.state.members import MemberTable
 from kelproad.state.orders import Order, OrderKind
-from tests.fakes import Bench, Peer
+from tests.fakes import ConfigurationSite, Peer
 
 LEASE = 1.0
 #: Seconds after which a load that the weight store rejects may be retried.
@@ -35,11 +35,11 @@
         self.resumed: asyncio.Event | None = None
         self.pauses = 0
 
-    async def give(self, url: str, order: Order) -> OrderOutcome:
+    async def send(self, url: str, order: Order) -> OrderOutcome:
         if self.resumed is not None:
             self.pauses += 1
             await self.resumed.wait()
-        return await super().give(url, order)
+        return await super().send(url, order)
 
 
 @attrs.define
@@ -49,7 +49,7 @@
     name: str
     enforces_tokens: bool
     server: TestServer | None = None
-    models: OrderedModels | None = None
+    models: ManagedModels | None = None
     streams: int = 0
     fetch: Callable[[str, str], Awaitable[float]] = skip_weights
     starts: int = 0
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         self.starts += 1
-        self.models = OrderedModels(
+        self.models = ManagedModels(
             ['m@1'],
             f'{self.starts}',
             self.enforces_tokens,
@@ -96,7 +96,7 @@
 class Fleet:
     """The engines of a zone, and the instances that contend for its lease."""
 
-    bench: Bench
+    bench: ConfigurationSite
     engines: list[Engine]
     controllers: list[OrderController] = attrs.field(factory=list)
     peers: list[Peer] = attrs.field(factory=list)
@@ -166,7 +166,7 @@
 @pytest.fixture
 async def fleet(
     request: pytest.FixtureRequest,
-    bench: Bench,
+    bench: ConfigurationSite,
     monkeypatch: pytest.MonkeyPatch,
 ) -> AsyncIterator[Fleet]:
     monkeypatch.setattr(rollout, 'SPREAD_SECONDS', 0.1)
--- a/tests/test_orders_site.py
+++ b/tests/test_orders_site.py
@@ -131,9 +131,9 @@
     wait_for(is_held_by_successor, LEASE)
     new.process.freeze()
     time.sleep(LEASE + OVERDUE_SECONDS)
-    new.process.wake()
+    new.process.resume()
     wait_for(is_held_by_successor, LEASE)
-    old.process.wake()
+    old.process.resume()
     for _ in range(20):
         serve(old)
         serve(new)
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -9,7 +9,7 @@
 from aiohttp.test_utils import TestServer
 from multidict import CIMultiDict
 
-from kelproad.protocol.connections import trace_connections
+from kelproad.protocol.connections import build_connection_trace
 from kelproad.protocol.plain import PlainCall, PlainClient
 from kelproad.standins.service import ServiceStandIn
 from kelproad.state.refusals import Ran, RefusalCode
@@ -29,7 +29,9 @@
 @pytest.fixture
 async def client() -> AsyncIterator[PlainClient]:
     """Create a client with the kind of session that instances use."""
-    session = create_single_use_session(trace_configs=[trace_connections()])
+    session = create_single_use_session(
+        trace_configs=[build_connection_trace()]
+    )
     yield PlainClient(session)
     await session.close()
 
--- a/tests/test_reclamation.py
+++ b/tests/test_reclamation.py
@@ -20,9 +20,9 @@
 from tests.engines import (
     OpenStream,
     list_engines,
-    list_held,
-    set_engines,
-    wait_until_free,
+    list_held_streams,
+    set_engine_faults,
+    wait_until_released,
 )
 
 #: Seconds within which an engine is free after an ordinary end.
@@ -54,8 +54,8 @@
     yield
     if 'site' in request.fixturenames:
         site = request.getfixturevalue('site')
-        set_engines(site)
-        assert wait_until_free(site, ORPHANS_WITHIN) == {}
+        set_engine_faults(site)
+        assert wait_until_released(site, ORPHANS_WITHIN) == {}
 
 
 def open_long_stream(
@@ -70,7 +70,7 @@
 
 
 def wait_until_held(site: Site) -> None:
-    while not any(held['held'] for held in list_held(site).values()):
+    while not any(held['held'] for held in list_held_streams(site).values()):
         time.sleep(0.05)
 
 
@@ -82,14 +82,14 @@
     The engine does not notice; the instance cancels, and repeats cancels
     that are lost.
     """
-    set_engines(site, lose_cancels=lost, delay_head=0 if events else 3)
+    set_engine_faults(site, lose_cancels=lost, delay_head=0 if events else 3)
     stream = open_long_stream(site, wait=events > 0)
     if events:
         stream.read(events)
     else:
         wait_until_held(site)
     stream.close()
-    assert wait_until_free(site, FREE_WITHIN) == {}
+    assert wait_until_released(site, FREE_WITHIN) == {}
 
 
 def test_cancel_overtakes_its_dispatch(site: Site) -> None:
@@ -98,13 +98,13 @@
     The cancel arrives first; when the dispatch arrives, the engine must not
     begin work that nobody would ever cancel.
     """
-    set_engines(site, delay_dispatch=1.0)
+    set_engine_faults(site, delay_dispatch=1.0)
     before = count_attempts(site)
     stream = open_long_stream(site, wait=False)
     time.sleep(0.4)
     stream.close()
     time.sleep(1.2)
-    assert wait_until_free(site, FREE_WITHIN) == {}
+    assert wait_until_released(site, FREE_WITHIN) == {}
     assert count_attempts(site) == before
 
 
@@ -113,7 +113,7 @@
     stream = open_long_stream(site, deadline=1)
     stream.read()
     assert stream.error['code'] == 'deadline_exceeded'
-    assert wait_until_free(site, FREE_WITHIN) == {}
+    assert wait_until_released(site, FREE_WITHIN) == {}
 
 
 def test_killed_instance_is_replaced(site: Site) -> None:
@@ -126,7 +126,7 @@
     instance.process.kill()
     site.start_instance(instance)
     site.wait_ready()
-    assert wait_until_free(site, ORPHANS_WITHIN) == {}
+    assert wait_until_released(site, ORPHANS_WITHIN) == {}
     for stream in streams:
         stream.close()
 
@@ -141,7 +141,7 @@
         'DELETE',
         f'/control/members/{instance.name}',
     )
-    assert wait_until_free(site, ORPHANS_WITHIN + FORGOTTEN_AFTER) == {}
+    assert wait_until_released(site, ORPHANS_WITHIN + FORGOTTEN_AFTER) == {}
     stream.close()
     site.start_instance(instance)
     site.wait_ready()
@@ -165,7 +165,7 @@
     member = f'/control/members/{instance.name}'
     site.control(site.platform_address, 'DELETE', member)
     time.sleep(FORGOTTEN_AFTER + 4)
-    instance.process.wake()
+    instance.process.resume()
     site.control(site.platform_address, 'PUT', member, listed)
     stream.read()
     stream.close()
@@ -176,12 +176,12 @@
 def test_planned_stop_releases(site: Site) -> None:
     """A caller disconnects just as its instance is stopped."""
     instance = site.instances[3]
-    set_engines(site, lose_cancels=1)
+    set_engine_faults(site, lose_cancels=1)
     stream = open_long_stream(site, 3)
     stream.close()
     instance.process.send_signal(signal.SIGTERM)
     assert instance.process.wait(20) == 0
-    assert wait_until_free(site, 1) == {}
+    assert wait_until_released(site, 1) == {}
     site.start_instance(instance)
     site.wait_ready()
 
@@ -265,7 +265,7 @@
             stream.read()
             assert stream.text == compose_answer('cut', tokens)
             assert stream.done
-        assert wait_until_free(site, FREE_WITHIN) == {}
+        assert wait_until_released(site, FREE_WITHIN) == {}
 
 
 OWNERSHIP = OwnershipState(
@@ -341,6 +341,6 @@
     """List kind and id of everything that the report engines hold."""
     return {
         (item['kind'], item['item_id'])
-        for held in list_held(site).values()
+        for held in list_held_streams(site).values()
         for item in held['held']
     }
