--- a/testbed/soak/routed.py
+++ b/testbed/soak/routed.py
@@ -123,7 +123,7 @@
     ]
     duration = stop.ended_at - stop.terminated_at
     print(
-        f'  {stop.terminated_at:.2f} stop of {stop.instance}:',
+        f'  {stop.terminated_at:.2f} stop of {stop.instance}: '
         f'{duration:.2f} s,',
         f'exit code {stop.code}, {cut} truncated at its end,',
         f'no answer: {"; ".join(unanswered) or "none"}',
