--- a/src/kelproad/coordination/ingress/verdicts.py
+++ b/src/kelproad/coordination/ingress/verdicts.py
@@ -29,7 +29,7 @@
 #: has exited is removed, and one that is still listed has probably reported
 #: since.  The time decides, since peers are not sent reports that hold nothing
 #: new, and a report that was under way with the answer proves nothing.
-_DISOWNED_SECONDS = 5.0
+_MISDIRECTED_SECONDS = 5.0
 
 
 @attrs.frozen
@@ -105,7 +105,7 @@
             self._observations.record_refusal(endpoint.name, now)
         if failure.misdirected:
             # Another endpoint answered: no evidence on the health of this one.
-            endpoint.misdirected_until = now + _DISOWNED_SECONDS
+            endpoint.misdirected_until = now + _MISDIRECTED_SECONDS
             return
         record_outcome(
             self._table,
--- a/testbed/soak/__init__.py
+++ b/testbed/soak/__init__.py
@@ -1,6 +1,7 @@
-"""Long seeded random runs: all faults mixed, and the accounts checked after.
+"""Long seeded random runs that mix all faults and check consistency afterwards.
 
-``callers`` sends requests and keeps what each was told, ``faults`` draws and
-brings about failures, ``accounts`` compares what callers were told with what
-services and engines did, ``run`` joins them.
+``callers`` sends requests and records their answers, ``faults`` chooses and
+injects faults, ``accounts`` compares the answers with the effects at services
+and engines, ``run`` is the program.  The modules ``routed*`` and ``links`` do
+the same for the routed interface.
 """
--- a/testbed/soak/callers.py
+++ b/testbed/soak/callers.py
@@ -63,7 +63,7 @@
         self._site = site
         self._random = random.Random(seed)
         self._rate = rate
-        self.told: list[WorkRecord] = []
+        self.records: list[WorkRecord] = []
 
     async def run(self, seconds: float) -> None:
         """Send for ``seconds``, then wait for every answer."""
@@ -78,8 +78,8 @@
     async def _work(self, session: aiohttp.ClientSession) -> None:
         kinds = ('completion', 'keyed booking', 'booking')
         kind = self._random.choices(kinds, (3, 2, 1))[0]
-        record = WorkRecord(f'work-{len(self.told)}', kind)
-        self.told.append(record)
+        record = WorkRecord(f'work-{len(self.records)}', kind)
+        self.records.append(record)
         attempts = _MAX_ATTEMPTS if kind == 'keyed booking' else 1
         for _ in range(attempts):
             outcome = await self._attempt(session, record)
--- a/testbed/soak/routed.py
+++ b/testbed/soak/routed.py
@@ -64,7 +64,7 @@
         calls = await asyncio.to_thread(
             check_calls,
             site,
-            callers.told,
+            callers.records,
             faults,
         )
     return calls + recovery
@@ -105,12 +105,12 @@
         )
     outcomes = collections.Counter(
         f'{item.kind} {item.status}{"" if item.whole else " broken"}'
-        for item in callers.told
+        for item in callers.records
     )
     for label, count in sorted(outcomes.items()):
         print(f'{count:6} {label}')
     for stop in faults.stops:
-        _print_stop(stop, callers.told)
+        _print_stop(stop, callers.records)
 
 
 def _print_stop(stop: PlannedStop, records: list[CallRecord]) -> None:
--- a/testbed/soak/routed_callers.py
+++ b/testbed/soak/routed_callers.py
@@ -137,7 +137,7 @@
         self._ids = itertools.count(1)
         #: API key of new calls; replaced by key rotations during the run.
         self.key = ''
-        self.told: list[CallRecord] = []
+        self.records: list[CallRecord] = []
 
     async def run(self, seconds: float) -> None:
         """Call for ``seconds``, then wait for the calls in flight."""
@@ -195,7 +195,7 @@
             self._choose_events(kind),
             fresh,
         )
-        self.told.append(record)
+        self.records.append(record)
         try:
             async with session.post(
                 self._build_url(kind, instance, record),
@@ -224,13 +224,13 @@
         self,
         kind: _Kind,
         instance: RoutedInstance,
-        told: CallRecord,
+        record: CallRecord,
     ) -> str:
         url = f'http://{instance.caller}/{kind.name}/x'
         if not kind.streams:
             return url
         pace = _PASS_SECONDS if kind.long else _PACE
-        return f'{url}?events={told.events}&pace={pace}'
+        return f'{url}?events={record.events}&pace={pace}'
 
     def _build_headers(self, kind: _Kind, record: CallRecord) -> dict[str, str]:
         headers = {
--- a/testbed/soak/run.py
+++ b/testbed/soak/run.py
@@ -35,12 +35,12 @@
     await asyncio.gather(callers.run(seconds), faults.run(seconds))
     operator.cancel()
     await asyncio.gather(operator, return_exceptions=True)
-    _print_summary(callers.told, faults)
+    _print_summary(callers.records, faults)
     revision = await asyncio.to_thread(_apply_last, site)
     return await asyncio.to_thread(
         check_consistency,
         site,
-        callers.told,
+        callers.records,
         revision,
     )
 
