--- a/testbed/soak/routed_callers.py
+++ b/testbed/soak/routed_callers.py
@@ -224,13 +224,13 @@
         self,
         kind: _Kind,
         instance: RoutedInstance,
-        record: CallRecord,
+        told: CallRecord,
     ) -> str:
         url = f'http://{instance.caller}/{kind.name}/x'
         if not kind.streams:
             return url
         pace = _PASS_SECONDS if kind.long else _PACE
-        return f'{url}?events={record.events}&pace={pace}'
+        return f'{url}?events={told.events}&pace={pace}'
 
     def _build_headers(self, kind: _Kind, record: CallRecord) -> dict[str, str]:
         headers = {
