--- a/tests/ingress/test_calls_site.py
+++ b/tests/ingress/test_calls_site.py
@@ -485,7 +485,7 @@
 def test_an_expected_interim_answer_is_sent(
     site: RoutedSite,
 ) -> None:
-    """A caller gets the interim answer, sends its body, gets the answer."""
+    """A caller with ``Expect: 100-continue`` gets both answers in turn."""
     request_id = next_id()
     head = ''.join(
         f'{name}: {text}\r\n' for name, text in make_headers(request_id).items()
--- a/tests/ingress/test_stops_site.py
+++ b/tests/ingress/test_stops_site.py
@@ -109,8 +109,8 @@
 def test_a_stop_refuses_what_it_would_cut(site: RoutedSite) -> None:
     """A balancer keeps sending calls to an instance that is stopping.
 
-    No other instance of the zone is in rotation, so a long stream arrives
-    seconds after SIGTERM; it was accepted, and truncated by the kill.  It must
+    No other instance of the zone is in rotation, so a long stream arrives five
+    seconds after SIGTERM; it was accepted, and truncated by the kill. It must
     be refused at once as not run, so that the caller can try another instance.
     """
     instance = site.instances[0]
